--- a/cornelgap/decisions/error_shares.py
+++ b/cornelgap/decisions/error_shares.py
@@ -14,7 +14,7 @@
 """
 
 from cornelgap.decisions.answer_tally import Tally
-from cornelgap.decisions.averages import Average, decay_share
+from cornelgap.decisions.averages import Average, compute_decay
 
 SHARE = 0.3
 """Weight of one step in the share of errors."""
@@ -160,7 +160,7 @@
         )
 
     def _count_errors(self, tally, now):
-        kept = decay_share(now - self._measured_at, HALF_LIFE_S)
+        kept = compute_decay(now - self._measured_at, HALF_LIFE_S)
         found = {}
         for priority, average in self._shares.items():
             share = min(MOST, average.read(0) * kept)
--- a/cornelgap/decisions/targetload.py
+++ b/cornelgap/decisions/targetload.py
@@ -1,23 +1,27 @@
-"""What one entry knows of one target's load, first-hand and reported."""
+"""Load of one target, as counted by one entry instance and as reported."""
 
-from cornelgap.decisions.averages import Average, decay_share
+from cornelgap.decisions.averages import Average, compute_decay
 
 _REPORT_HALF_LIFE_S = 2.0
-"""A report speaks of requests that end within a second; two seconds later
-half of it is a guess, and the mean of all targets is the better one."""
+"""Half-life of a load report.  The requests that it counts end within a
+second; after two seconds the mean of all targets is the better estimate."""
 
-_TOOK_SHARE = 0.1
-"""Ten requests tell a slow target from a few slow requests."""
+_DURATION_WEIGHT = 0.1
+"""Weight of one request's duration: about ten requests are averaged, which
+tells a slow target from a few slow requests."""
 
 _MAX_REPORTED_PER_SLOT = 4
-"""A report beyond this is wrong or changes nothing."""
+"""Upper limit of a reported load, in requests per slot; a higher report is
+wrong or makes no difference."""
 
 
 class TargetLoad:
     """Flows and requests at one target.
 
-    :param slots: requests that it runs at the same time.
+    :param slots: requests that the target runs at the same time.
     :param since: when it joined, seconds; None if long ago.
+    :ivar others: estimated requests of other entry instances.
+    :ivar took: mean duration of a request, seconds.
     """
 
     def __init__(self, slots, since=None):
@@ -28,29 +32,32 @@
         self.in_flight = 0
         self.others = float(0)
         self.reports_draining = False
-        self.took = Average(_TOOK_SHARE)
+        self.took = Average(_DURATION_WEIGHT)
         self._reported_at = None
 
     def note_in_flight(self, now, change):
-        """Count an own request that was sent (+1) or has ended (-1)."""
+        """Count a request of this instance as sent (+1) or ended (-1)."""
         self.in_flight = max(0, self.in_flight + change)
 
     def note_report(self, now, total):
-        """Take in the requests at the target, all entries' together."""
+        """Record a reported number of requests from all entry instances."""
         total = min(total, _MAX_REPORTED_PER_SLOT * self.slots)
-        seen = max(0, total - self.in_flight)
-        # Half of each report: one answer sees one instant only.
-        self.others += 0.5 * (seen - self.others)
+        reported_others = max(0, total - self.in_flight)
+        # A report shows a single instant, so it is averaged with weight 0.5.
+        self.others += 0.5 * (reported_others - self.others)
         self._reported_at = now
 
     def estimate(self, now, usual_others):
-        """Return the requests expected at the target now.
+        """Return the number of requests expected at the target now.
 
-        :param usual_others: other entries' requests at a mean target.
+        :param usual_others: mean number of other entry instances' requests
+            at a target.
         """
         if self._reported_at is None:
             return self.in_flight + usual_others
-        left = decay_share(now - self._reported_at, _REPORT_HALF_LIFE_S)
+        weight = compute_decay(now - self._reported_at, _REPORT_HALF_LIFE_S)
         return (
-            self.in_flight + usual_others + left * (self.others - usual_others)
+            self.in_flight
+            + usual_others
+            + weight * (self.others - usual_others)
         )
