--- a/cornelgap/decisions/retry.py
+++ b/cornelgap/decisions/retry.py
@@ -1,78 +1,84 @@
-"""Retries that cannot multiply: a budget, a deadline, and jitter.
+"""Retries limited by a budget and a deadline, and jitter for retry times.
 
-Load pattern: a target slows down or sheds, so more requests fail, so more
-are sent again.  Without a budget three more tries can make four times
-the load of each request, and the service stays down after the cause
-has gone.  With one, retries are at most a fixed share of the requests.
+Load pattern: a target slows down or sheds load, so more requests fail, and
+more are sent again.  Without a budget, three retries of each request make
+four times the load, and the service stays overloaded after the cause has
+gone.  With one, retries are at most a fixed share of the requests.
 """
 
 from cornelgap.core.verdicts import Ran
 
-_SHARE = 0.1
-"""Retries earned by one request: load grows by a tenth at worst."""
+_RETRIES_PER_REQUEST = 0.1
+"""Retries earned by one request: load grows by a tenth at most."""
 
-_FLOOR_PER_S = 1.0
-"""Retries a second that are always earned, for a service with few requests."""
+_MIN_RETRIES_PER_S = 1.0
+"""Retries earned per second regardless of load, for a service with few
+requests."""
 
-_CAP = 10.0
-"""Saved retries at most, so that a quiet hour does not pay for a storm."""
+_MAX_SAVED_RETRIES = 10.0
+"""Upper limit of the saved budget, so that an hour of low traffic does not
+allow a burst of retries."""
 
-_MIN_LEFT_S = 0.02
-"""A retry needs at least this long: two ways to a target and its answer."""
+_MIN_TIME_LEFT_S = 0.02
+"""Time that a retry needs at least: two network paths to a target and its
+answer."""
 
 _JITTER = 0.5
+"""Random part of a retry time, as a share of its base."""
 
 
 class RetryBudget:
-    """How many requests of one service may be sent again by this entry."""
+    """Token bucket of retries for one service at one entry instance."""
 
     def __init__(self):
-        """Start with half the cap, for faults soon after a start."""
-        self._saved = _CAP / 2
-        self._filled_at = None
+        """Start with half the maximum, for faults soon after a start."""
+        self._saved = _MAX_SAVED_RETRIES / 2
+        self._refilled_at = None
 
     @classmethod
     def from_cfg(cls, service):
-        """Build the budget of one service; every service earns alike."""
+        """Create the budget of one service; all services use one rate."""
         return cls()
 
     def note_request(self, now):
-        """Earn a share of a retry for one first-time request."""
-        self._fill(now)
-        self._saved = min(_CAP, self._saved + _SHARE)
+        """Add the share of a retry that one first attempt earns."""
+        self._refill(now)
+        self._saved = min(
+            _MAX_SAVED_RETRIES, self._saved + _RETRIES_PER_REQUEST
+        )
 
     def may_retry(self, now, deadline, ran, idempotent):
-        """Say whether one retry may be sent, and pay for it if so.
+        """Return whether one retry may be sent, and consume it if so.
 
         :param now: seconds.
         :param deadline: of the request, seconds on the same clock.
-        :param ran: what is known of the first try.
-        :param idempotent: whether running it twice does no harm.
+        :param ran: what is known about whether the first attempt ran.
+        :param idempotent: whether running the request twice is harmless.
         """
-        if deadline - now < _MIN_LEFT_S:
+        if deadline - now < _MIN_TIME_LEFT_S:
             return False
         if not _is_repeatable(ran, idempotent):
             return False
-        self._fill(now)
+        self._refill(now)
         if self._saved < 1:
             return False
         self._saved -= 1
         return True
 
-    def _fill(self, now):
-        if self._filled_at is not None:
-            earned = _FLOOR_PER_S * max(0, now - self._filled_at)
-            self._saved = min(_CAP, self._saved + earned)
-        self._filled_at = now
+    def _refill(self, now):
+        if self._refilled_at is not None:
+            earned = _MIN_RETRIES_PER_S * max(0, now - self._refilled_at)
+            self._saved = min(_MAX_SAVED_RETRIES, self._saved + earned)
+        self._refilled_at = now
 
 
 def pick_retry_after_ms(rng, base_ms):
-    """Return when to come back, spread over base to one and a half times it.
+    """Return a retry time drawn from base to one and a half times the base.
 
-    Callers refused in the same instant would otherwise all come back in the
-    same instant; one would notice it as a burst that repeats.
+    Callers that are refused in the same instant would otherwise retry in the
+    same instant, and cause the same burst again.
 
-    :param rng: generator.
+    :param rng: random number generator.
     :param base_ms: earliest useful time, milliseconds.
     """
     return round(base_ms * (1 + _JITTER * rng.random()))
@@ -81,6 +87,6 @@
 def _is_repeatable(ran, idempotent):
     if ran is Ran.NOT_RUN:
         return True
-    # A request that may have run could run twice: a hold would book an
-    # aircraft twice.  Only one that is idempotent is tried again.
+    # A request that may have run could run twice; a reservation would book
+    # an aircraft twice.  Such a request is retried only if it is idempotent.
     return idempotent and ran is not Ran.DONE
