--- a/cornelgap/decisions/limits.py
+++ b/cornelgap/decisions/limits.py
@@ -1,27 +1,30 @@
-"""How many requests one entry keeps at one target at the same time.
-
-Load pattern: six entries share a target's two or three slots and do not
-know of each other.  With a fixed limit of all slots each, twelve requests
-meet two slots and wait where nobody is fair to callers; with a sixth each,
-slots idle when one entry alone has work.  So the limit adapts: up while
-there is room, down when the target sheds or queues.
+"""Adaptive limit of the requests that one entry instance sends to a target.
+
+Load pattern: six entry instances share a target's two or three slots and
+know nothing of each other.  If each may use all slots, twelve requests
+compete for two slots and wait in the target's queue, which does not share
+slots fairly among callers.  If each may use a sixth, slots stay idle when
+only one instance has requests.  So the limit adapts: it rises while the
+target has room, and falls when the target sheds load or queues requests.
 """
 
-_FLOOR = 1.0
-_UP_ON_OK = 0.1
-_UP_ON_ROOM = 0.5
-_DOWN_ON_SHED = 0.5
-_DOWN_ON_QUEUE = 0.95
+_MIN_LIMIT = 1.0
+"""Requests."""
+
+_INCREASE_ON_OK = 0.1
+_INCREASE_ON_FREE_SLOT = 0.5
+_FACTOR_ON_SHED = 0.5
+_FACTOR_ON_QUEUE = 0.95
 
 
 class SlotLimit:
-    """A limit between one and the target's slots.
+    """A limit between one and the target's number of slots.
 
     :param slots: of the target.
     """
 
     def __init__(self, slots):
-        """Start at all slots: an entry that has work alone loses none."""
+        """Start at all slots, so that a single busy instance can use them."""
         self._slots = max(1, slots)
         self._value = float(self._slots)
 
@@ -30,24 +33,24 @@
         return int(self._value)
 
     def resize(self, slots):
-        """Take over another number of slots."""
+        """Change the number of slots."""
         self._slots = max(1, slots)
         self._set(self._value)
 
     def note_ok(self):
-        """Rise a little: a request found a slot and ended well."""
-        self._set(self._value + _UP_ON_OK)
+        """Raise the limit a little after a successful request."""
+        self._set(self._value + _INCREASE_ON_OK)
 
     def note_shed(self):
-        """Fall: the target had no room for what was sent."""
-        self._set(self._value * _DOWN_ON_SHED)
+        """Lower the limit after the target refused a request for load."""
+        self._set(self._value * _FACTOR_ON_SHED)
 
     def note_report(self, in_flight, waiting):
-        """Follow what the target says about its own room."""
+        """Adapt the limit to a load report of the target."""
         if waiting > 0:
-            self._set(self._value * _DOWN_ON_QUEUE)
+            self._set(self._value * _FACTOR_ON_QUEUE)
         elif in_flight < self._slots:
-            self._set(self._value + _UP_ON_ROOM)
+            self._set(self._value + _INCREASE_ON_FREE_SLOT)
 
     def _set(self, value):
-        self._value = min(max(value, _FLOOR), float(self._slots))
+        self._value = min(max(value, _MIN_LIMIT), float(self._slots))
