--- a/cornelgap/decisions/fairqueue.py
+++ b/cornelgap/decisions/fairqueue.py
@@ -1,16 +1,16 @@
-"""A queue in which each caller waits behind its own requests only.
+"""A queue that serves callers round robin.
 
-Load pattern: one caller sends ten times as much as any other.  In a single
-FIFO queue everybody waits behind it and its requests take nine of ten
-slots.  Served in turn, a caller that asks for less than its share waits at
-most one round.
+Load pattern: one caller sends ten times as many requests as any other.  In a
+single FIFO queue all callers wait behind it, and its requests take nine of
+ten slots.  With round robin, a caller that asks for less than its share
+waits at most one round.
 """
 
 from collections import OrderedDict, deque
 
 
 class FairQueue:
-    """Waiting jobs by caller, taken one caller after the other."""
+    """Waiting jobs by caller, dequeued round robin over the callers."""
 
     def __init__(self):
         """Start empty."""
@@ -22,7 +22,7 @@
         return self._size
 
     def push(self, job):
-        """Let a job wait; one that came earlier goes before."""
+        """Add a job; one that arrived before its caller's first goes first."""
         jobs = self._callers.setdefault(job.caller, deque())
         if jobs and job.arrived < jobs[0].arrived:
             jobs.appendleft(job)
@@ -31,7 +31,7 @@
         self._size += 1
 
     def pop(self):
-        """Take the next job of the caller whose turn it is."""
+        """Remove and return the first job of the next caller in turn."""
         caller, jobs = next(iter(self._callers.items()))
         job = jobs.popleft()
         self._size -= 1
@@ -42,7 +42,7 @@
         return job
 
     def remove(self, job):
-        """Take out a job, wherever it waits."""
+        """Remove a job at any position."""
         jobs = self._callers[job.caller]
         jobs.remove(job)
         self._size -= 1
@@ -50,7 +50,7 @@
             self._callers.pop(job.caller)
 
     def count_ahead(self, caller):
-        """Return how many jobs are taken before a new one of this caller."""
+        """Return how many jobs would be served before a new one of a caller."""
         own = len(self._callers.get(caller, ()))
         others = (
             min(len(jobs), own + 1)
@@ -60,9 +60,9 @@
         return own + sum(others)
 
     def find_newest_of_longest(self):
-        """Return the newest job of the caller with the most waiting."""
+        """Return the last job of the caller with the most waiting jobs."""
         return max(self._callers.values(), key=len)[-1]
 
     def list_jobs(self):
-        """Return all waiting jobs, in no useful order."""
+        """Return all waiting jobs, grouped by caller."""
         return [job for jobs in self._callers.values() for job in jobs]
