--- a/cornelgap/decisions/lanes.py
+++ b/cornelgap/decisions/lanes.py
@@ -167,7 +167,7 @@
         for kind in (self._short, self._long):
             limit = self._limit_of(kind)
             while kind.queue and len(kind.running) < limit:
-                if self._pause.lasts(now):
+                if self._pause.is_active(now):
                     break
                 if kind is self._long and self._holds_long(now):
                     break
@@ -183,7 +183,7 @@
         wake = self._expiries[0][0]
         if self._long.queue:
             wake = min(wake, max(now + _RECHECK_S, self._read_hold_end()))
-        if self._pause.lasts(now):
+        if self._pause.is_active(now):
             wake = min(wake, self._pause.until)
         return max(now, wake)
 
