--- a/cornelgap/decisions/shedding.py
+++ b/cornelgap/decisions/shedding.py
@@ -1,28 +1,29 @@
-"""What an overloaded entry gives up first, from its measured backlog.
+"""Which datagrams an overloaded entry instance drops first.
 
-Load pattern: datagrams come faster than one processor can handle, so the
-socket's buffer fills and the kernel drops whatever comes next: as likely
-the keep-alive of a feed as a new flow.  A dropped keep-alive costs a
-person's work, a dropped open costs one more try.  So the entry drops by
-choice, cheapest loss first, before the kernel drops by chance.
+Load pattern: datagrams arrive faster than one processor can handle them, so
+the socket buffer fills, and the kernel drops whatever comes next: the
+keep-alive of a feed as likely as the opening of a flow.  A dropped keep-alive
+can lose a user's work, a dropped opening costs one retry.  So the instance
+drops the datagrams that matter least before the kernel drops any at random.
 """
 
 import enum
 
 _LEVEL_STEP_S = 0.025
-"""Backlog delay that gives up one kind more; 100 ms, after which callers
-send again and the load doubles, is never reached with four steps."""
+"""Backlog delay per kind of datagram that is dropped.  The four steps stay
+below 100 ms, after which callers send again and the load doubles."""
 
-_RELAX_AFTER_S = 0.5
-"""Calm needed before one kind is taken back, so that levels do not flap."""
+_RECOVERY_S = 0.5
+"""Time with a lower backlog before one more kind is handled again, so that
+the level does not oscillate."""
 
 
 class Urgency(enum.IntEnum):
-    """Kinds of datagrams, the last one given up first."""
+    """Kinds of datagrams; the one with the highest number is dropped first."""
 
     KEEP = 0
     """Acknowledgements and subscriptions of feeds, cancel and close: they
-    cost little, and losing one costs a feed or a slot."""
+    are cheap to handle, and losing one costs a feed or a slot."""
 
     PROGRESS = 1
     """Relays and answers of requests in progress."""
@@ -38,15 +39,15 @@
 
 
 class Shedder:
-    """The highest kind that this entry still handles."""
+    """Tracks which kinds of datagrams an entry instance handles."""
 
     def __init__(self):
-        """Start with every kind."""
-        self._keeps = Urgency.OPEN
-        self._calm_since = None
+        """Start with handling every kind."""
+        self._highest_kept = Urgency.OPEN
+        self._lower_since = None
 
     def note_backlog(self, now, delay_s):
-        """Take in how long the oldest waiting datagram has waited.
+        """Adapt the level to the wait of the oldest waiting datagram.
 
         :param now: seconds.
         :param delay_s: seconds from arrival to handling.
@@ -54,17 +55,17 @@
         wanted = max(
             Urgency.PROGRESS, Urgency.OPEN - int(delay_s / _LEVEL_STEP_S)
         )
-        if wanted < self._keeps:
-            self._keeps = Urgency(wanted)
-            self._calm_since = None
-        elif wanted == self._keeps:
-            self._calm_since = None
-        elif self._calm_since is None:
-            self._calm_since = now
-        elif now - self._calm_since >= _RELAX_AFTER_S:
-            self._keeps = Urgency(self._keeps + 1)
-            self._calm_since = now
+        if wanted < self._highest_kept:
+            self._highest_kept = Urgency(wanted)
+            self._lower_since = None
+        elif wanted == self._highest_kept:
+            self._lower_since = None
+        elif self._lower_since is None:
+            self._lower_since = now
+        elif now - self._lower_since >= _RECOVERY_S:
+            self._highest_kept = Urgency(self._highest_kept + 1)
+            self._lower_since = now
 
     def may_handle(self, urgency):
-        """Say whether a datagram of this kind is handled now."""
-        return urgency <= self._keeps
+        """Return whether a datagram of this kind is handled now."""
+        return urgency <= self._highest_kept
