--- a/cornelgap/decisions/fair_shares.py
+++ b/cornelgap/decisions/fair_shares.py
@@ -1,85 +1,94 @@
-"""How many openings each caller gets while only a share is admitted.
+"""Max-min fair division of the admitted openings among callers.
+
+An opening is the first packet (SYN) of a new flow.
 
 Load pattern: one caller sends ten times as many requests as any other.  If
-each opening has the same chance, nine of ten admitted ones are that
-caller's, and the others are refused for it.  With max-min fair shares a
-caller that asks for less than the level gets all of it, and those above the
-level share the rest alike.
+every opening is admitted with the same probability, nine of ten admitted ones
+belong to that caller, and the other callers are refused because of it.  With
+max-min fair shares a caller that asks for less than the fair level gets all
+that it asks for, and the callers above the level get equal parts of the rest.
 """
 
-COUNT_S = 1.0
-"""Span in which openings of a caller are counted."""
+COUNT_WINDOW_S = 1.0
+"""Time in which the openings of a caller are counted."""
 
-MOST_CALLERS = 4096
-"""Callers counted at a time, about 400 KB; a further one is admitted by the
-share of its priority."""
+MAX_CALLERS = 4096
+"""Callers counted in one window, which takes about 400 KB.  Openings of any
+further caller are admitted with the admitted share of their priority."""
 
 
 def compute_fair_level(counts, budget):
-    """Compute the level up to which each caller gets what it asks for.
+    """Compute the max-min fair level.
+
+    Callers that ask for no more than the level get what they ask for, all
+    others get the level.
 
-    :param counts: openings of each caller.
-    :param budget: openings that are admitted together.
+    :param counts: number of openings of each caller.
+    :param budget: number of openings to admit in all.
     :returns: openings for one caller; infinite if the budget covers all.
     """
-    left = budget
+    remaining = budget
     ordered = sorted(counts)
     for position, count in enumerate(ordered):
-        level = left / (len(ordered) - position)
+        level = remaining / (len(ordered) - position)
         if count > level:
             return level
-        left -= count
+        remaining -= count
     return float('inf')
 
 
 class FairShares:
-    """Openings by caller, and the chance that a caller's next one has."""
+    """Counts openings by caller and computes their admission probability."""
 
     def __init__(self, now):
-        """Know no caller."""
-        self._since = now
+        """Start without callers, and admit everything."""
+        self._window_began_at = now
         self._share = 1
         self._level = None
         self._counts = {}
-        self._before = {}
+        self._previous_counts = {}
 
     @property
     def limited(self):
-        """Return how many callers have asked for more than the level."""
+        """Return the number of callers that asked for more than the level."""
         if self._level is None:
             return 0
-        return sum(count > self._level for count in self._before.values())
+        return sum(
+            count > self._level for count in self._previous_counts.values()
+        )
 
     def set_share(self, share):
-        """Note which share of all openings is admitted."""
+        """Set the share of all openings to admit."""
         if share != self._share:
             self._share = share
-            self._find_level()
+            self._update_level()
 
     def note_opening(self, caller, now):
-        """Count an opening."""
-        self._forget(now)
-        if caller in self._counts or len(self._counts) < MOST_CALLERS:
+        """Count an opening of a caller."""
+        self._roll_window(now)
+        if caller in self._counts or len(self._counts) < MAX_CALLERS:
             self._counts[caller] = self._counts.get(caller, 0) + 1
 
     def find_chance(self, caller):
-        """Return the chance, 0 to 1, of a caller's opening."""
-        count = max(self._counts.get(caller, 0), self._before.get(caller, 0))
+        """Return the probability, 0 to 1, of admitting a caller's opening."""
+        count = max(
+            self._counts.get(caller, 0), self._previous_counts.get(caller, 0)
+        )
         if self._level is None or not count:
             return self._share
         return min(1, self._level / count)
 
-    def _forget(self, now):
-        """Begin to count anew once in :data:`COUNT_S`."""
-        if now - self._since < COUNT_S:
+    def _roll_window(self, now):
+        """Start a new window once in :data:`COUNT_WINDOW_S`."""
+        if now - self._window_began_at < COUNT_WINDOW_S:
             return
-        recent = now - self._since < 2 * COUNT_S
-        self._before = self._counts if recent else {}
+        recent = now - self._window_began_at < 2 * COUNT_WINDOW_S
+        self._previous_counts = self._counts if recent else {}
         self._counts = {}
-        self._since = now
-        self._find_level()
+        self._window_began_at = now
+        self._update_level()
 
-    def _find_level(self):
-        counts = self._before.values()
+    def _update_level(self):
+        counts = self._previous_counts.values()
         budget = self._share * sum(counts)
         self._level = compute_fair_level(counts, budget) if counts else None
