--- a/cornelgap/decisions/answer_tally.py
+++ b/cornelgap/decisions/answer_tally.py
@@ -1,98 +1,113 @@
-"""What the answers of a service's targets were in some time.
+"""Counts of the answers and openings of one service in a period.
 
-An instance reads no answer.  It counts how many were short, as those of full
-targets and errors are, and how long callers waited for the whole ones.
+An instance does not read answers.  It counts which of them are short and
+quick: these are shed by a full target, or errors.  All others are regular
+answers, and it counts how long callers waited for them.
 """
 
 from msgspec import Struct, field
 
 
 class Tally(Struct):
-    """Answers that were seen since some time.
+    """Counts since a point in time.
 
+    Short answers count as sheds, also where they are errors.
+
+    :param since: start of the period, seconds.
     :param targets: lists [answers, sheds] by target.
-    :param priorities: answers by priority.
-    :param offered: openings by priority, refused ones too; counted while
-        any may be refused.
-    :param shorts: sheds by priority.
-    :param waits: lists [prompt, late] of whole answers by target, where it
-        is known how long they take while the targets have room.
+    :param answers_by_priority: number of answers by priority.
+    :param openings_by_priority: number of openings (first packets of new
+        flows) by priority, including refused ones; counted while any may be
+        refused.
+    :param sheds_by_priority: number of sheds by priority.
+    :param waits_by_target: lists [prompt, late] of regular answers by target,
+        where the usual wait of a target with room is known.
     """
 
     since: float
     targets: dict = field(default_factory=dict)
-    priorities: dict = field(default_factory=dict)
-    offered: dict = field(default_factory=dict)
-    shorts: dict = field(default_factory=dict)
-    waits: dict = field(default_factory=dict)
+    answers_by_priority: dict = field(default_factory=dict)
+    openings_by_priority: dict = field(default_factory=dict)
+    sheds_by_priority: dict = field(default_factory=dict)
+    waits_by_target: dict = field(default_factory=dict)
 
     @property
     def answers(self):
         """Return the number of answers."""
-        return sum(self.priorities.values())
+        return sum(self.answers_by_priority.values())
 
     @property
     def sheds(self):
-        """Return the number of sheds among them."""
+        """Return the number of sheds."""
         return sum(sheds for _, sheds in self.targets.values())
 
     @property
     def served(self):
-        """Return the number of whole answers."""
+        """Return the number of regular answers."""
         return self.answers - self.sheds
 
     def count_served(self, priority):
-        """Return the number of whole answers of one priority."""
-        return self.priorities.get(priority, 0) - self.shorts.get(priority, 0)
-
-    def compute_short_share(self, priorities):
-        """Return the share of sheds among the answers of some priorities."""
-        answers = sum(self.priorities.get(one, 0) for one in priorities)
-        shorts = sum(self.shorts.get(one, 0) for one in priorities)
-        return shorts / max(1, answers)
+        """Return the number of regular answers of one priority."""
+        return self.answers_by_priority.get(
+            priority, 0
+        ) - self.sheds_by_priority.get(priority, 0)
+
+    def compute_shed_share(self, priorities):
+        """Return the share of sheds among the answers of given priorities."""
+        answers = sum(
+            self.answers_by_priority.get(priority, 0) for priority in priorities
+        )
+        sheds = sum(
+            self.sheds_by_priority.get(priority, 0) for priority in priorities
+        )
+        return sheds / max(1, answers)
 
     def add(self, target, priority, shed, prompt=None):
         """Count one answer.
 
-        :param shed: whether the target seems to have had no room.
+        :param shed: whether it is short and quick, as of a full target.
         :param prompt: whether it came as soon as from a target with room;
             None if that is not known.
         """
         _add_pair(self.targets, target, (1, shed))
-        _add_number(self.priorities, priority, 1)
+        _add_number(self.answers_by_priority, priority, 1)
         if shed:
-            _add_number(self.shorts, priority, 1)
+            _add_number(self.sheds_by_priority, priority, 1)
         elif prompt is not None:
-            _add_pair(self.waits, target, (prompt, not prompt))
+            _add_pair(self.waits_by_target, target, (prompt, not prompt))
 
     def add_opening(self, priority):
-        """Count one opening."""
-        _add_number(self.offered, priority, 1)
+        """Count one opening of a priority."""
+        _add_number(self.openings_by_priority, priority, 1)
 
     def merge(self, other):
-        """Add what was seen in another time."""
-        for name in ('targets', 'waits'):
+        """Add the counts of another period."""
+        for name in ('targets', 'waits_by_target'):
             for target, pair in getattr(other, name).items():
                 _add_pair(getattr(self, name), target, pair)
-        for name in ('priorities', 'offered', 'shorts'):
+        for name in (
+            'answers_by_priority',
+            'openings_by_priority',
+            'sheds_by_priority',
+        ):
             for priority, number in getattr(other, name).items():
                 _add_number(getattr(self, name), priority, number)
 
     def count_shedding(self):
-        """Return the number of targets that have shed."""
+        """Return the number of targets with at least one shed."""
         return sum(sheds > 0 for _, sheds in self.targets.values())
 
     def count_waits(self):
-        """Count whole answers of those targets that have shed.
+        """Count the regular answers of the targets with at least one shed.
 
-        :returns: tuple (prompt ones, late ones).
+        :returns: tuple (prompt answers, late answers).
         """
-        found = [
-            self.waits[target]
+        pairs = [
+            self.waits_by_target[target]
             for target, (_, sheds) in self.targets.items()
-            if sheds and target in self.waits
+            if sheds and target in self.waits_by_target
         ]
-        return sum(pair[0] for pair in found), sum(pair[1] for pair in found)
+        return sum(pair[0] for pair in pairs), sum(pair[1] for pair in pairs)
 
 
 def _add_pair(pairs, key, added):
--- a/cornelgap/decisions/error_shares.py
+++ b/cornelgap/decisions/error_shares.py
@@ -1,178 +1,194 @@
-"""Which part of the short answers of a service are errors.
-
-Load pattern: half of all requests fail at once, at all targets, and none is
-full.  Taken for sheds, these answers close the gate; no cut makes them
-fewer, so it closes further, and callers lose nine tenths of what would have
-been served.  Errors may also begin during an overload or end in one: what
-is refused then is only what the sheds among the short answers call for.
-
-Cuts of the admitted shares tell errors from sheds.  Full targets serve as
-much after a cut, and shed less; targets with room serve less, and fail the
-same part of it.  Where it is known how long answers take while targets have
-room, it also counts that full ones answer only after a queue's wait: other
-instances may press these targets more at the same time.
+"""Estimates which part of a service's short answers are errors, not sheds.
+
+Load pattern: half of all requests fail at once at all targets, and none of
+them is full.  If these answers counted as sheds, the admitted shares would be
+cut.  No cut makes errors fewer, so the shares would be cut again and again,
+and callers would lose nine tenths of what could have been served.  Errors may
+also begin or end during an overload; then only as much is refused as the
+sheds among the short answers require.
+
+Cuts of the admitted shares distinguish errors from sheds.  After a cut, full
+targets serve as much as before and shed less, while targets with room serve
+less and fail the same share of requests.  Since other instances may send more
+to the same targets at the same time, waits count too where the usual wait of
+a target with room is known: full targets answer only after a wait in their
+queue.
 """
 
 from cornelgap.decisions.answer_tally import Tally
 from cornelgap.decisions.averages import Average, compute_decay
 
-SHARE = 0.3
-"""Weight of one step in the share of errors."""
+STEP_WEIGHT = 0.3
+"""Weight of one step in the average share of errors."""
 
 HALF_LIFE_S = 2.0
-"""Time in which a share of errors loses half of its weight.  While targets
-are full it cannot be measured, and the errors may have ended."""
+"""Half-life of a measured share of errors.  It can't be measured while
+targets are full, and the errors may have ended."""
 
-PROOF_S = 20.0
-"""Time after which errors must be shown anew.  Cuts may also have seemed to
-be without effect because other instances sent more."""
+DETECTION_VALID_S = 20.0
+"""Time after which errors must be detected again.  Cuts may also have seemed
+ineffective because other instances sent more."""
 
-MOST = 0.98
-"""Largest share of errors that is taken off; the rest keeps showing what
-the targets serve."""
+MAX_ERROR_SHARE = 0.98
+"""Upper limit of the share of answers that is subtracted as errors; the other
+answers are needed to see what the targets serve."""
 
-LARGE_CUT = 0.75
-"""Part of what was served that targets with room serve at most after cuts
-whose result counts."""
+MAX_SERVED_SHARE = 0.75
+"""Upper limit of what targets with room would serve after the cuts, as a part
+of what was served before.  Smaller cuts say nothing about errors."""
 
-SIGNS = 2
-"""Cuts in a row without effect from which on short answers are errors."""
+MIN_INEFFECTIVE_CUTS = 2
+"""Consecutive cuts without effect after which short answers are errors."""
 
-SAME_SHARE = 0.5
-"""Part of the share of short answers of before the cuts from which on it
-counts as unchanged; few answers show it roughly."""
+UNCHANGED_FACTOR = 0.5
+"""The share of short answers counts as unchanged from this part of its value
+before the cuts; with few answers it is known only roughly."""
 
 
 class CutSeries:
-    """Cuts without a raise between them, and what they have changed.
+    """Consecutive cuts of the admitted shares and their effect.
 
-    :ivar served_per_s: whole answers before the first one.
+    :ivar served_per_s: regular answers per second before the first cut.
     """
 
     def __init__(self, tally, span_s):
         """Start before the first cut.
 
         :param tally: :class:`~cornelgap.decisions.answer_tally.Tally`.
-        :param span_s: seconds in which it was counted.
+        :param span_s: length of its period, seconds.
         """
         self._before = tally
         self._span_s = span_s
-        self._kept = dict.fromkeys(tally.priorities, 1)
-        self._signs = 0
-        self._judged = True
+        self._kept_shares = dict.fromkeys(tally.answers_by_priority, 1)
+        self._ineffective_cuts = 0
+        self._evaluated = True
         self.served_per_s = tally.served / span_s
 
     def note_cut(self, before, shares):
-        """Note a cut.
+        """Record a cut.
 
-        :param before: admitted share by priority.
+        :param before: admitted share by priority before the cut.
         :param shares: the same after the cut.
         """
-        for priority, kept in self._kept.items():
+        for priority, kept in self._kept_shares.items():
             part = shares.get(priority, 1) / before.get(priority, 1)
-            self._kept[priority] = kept * part
-        self._judged = False
+            self._kept_shares[priority] = kept * part
+        self._evaluated = False
 
-    def is_relieved(self, tally):
-        """Say whether short answers have become fewer since the first cut.
+    def is_shed_share_lower(self, tally):
+        """Return whether the share of short answers fell since the first cut.
 
-        Only priorities that were cut count: others may have no errors.
+        Only priorities that were cut count; others may have no errors.
         """
-        names = [name for name, kept in self._kept.items() if kept < 1]
-        share = self._before.compute_short_share(names)
-        return tally.compute_short_share(names) < SAME_SHARE * share
+        names = [name for name, kept in self._kept_shares.items() if kept < 1]
+        share = self._before.compute_shed_share(names)
+        return tally.compute_shed_share(names) < UNCHANGED_FACTOR * share
 
-    def shows_room(self, tally, span_s):
-        """Say whether the targets cannot have been full; asked once a cut.
+    def indicates_room(self, tally, span_s):
+        """Return whether the cuts show that the targets had room.
 
-        One cut may also be followed by fewer answers because other instances
-        send more; two in a row rarely are.
+        Each cut is evaluated once.  After a single cut there may also be fewer
+        answers because other instances send more; after two in a row that is
+        rare.
 
-        :param tally: what was seen since the last cut.
-        :param span_s: seconds in which it was counted.
+        :param tally: counts since the last cut.
+        :param span_s: length of its period, seconds.
         """
-        failing_per_s = sum(
+        with_room_per_s = sum(
             kept * self._before.count_served(name) / self._span_s
-            for name, kept in self._kept.items()
+            for name, kept in self._kept_shares.items()
         )
-        if self._judged or failing_per_s > LARGE_CUT * self.served_per_s:
+        if (
+            self._evaluated
+            or with_room_per_s > MAX_SERVED_SHARE * self.served_per_s
+        ):
             return False
-        self._judged = True
-        least_per_s = (self.served_per_s + failing_per_s) / 2
-        less = tally.served < least_per_s * span_s
-        failed = less and not self.is_relieved(tally)
-        self._signs = self._signs + 1 if failed else 0
-        return self._signs >= SIGNS
+        self._evaluated = True
+        threshold_per_s = (self.served_per_s + with_room_per_s) / 2
+        served_less = tally.served < threshold_per_s * span_s
+        ineffective = served_less and not self.is_shed_share_lower(tally)
+        self._ineffective_cuts = (
+            self._ineffective_cuts + 1 if ineffective else 0
+        )
+        return self._ineffective_cuts >= MIN_INEFFECTIVE_CUTS
 
 
 class ErrorShares:
     """The share of errors among the answers of each priority."""
 
     def __init__(self):
-        """Know no errors."""
+        """Start without errors."""
         self._shares = {}
-        self._shown_at = self._measured_at = float('-inf')
+        self._detected_at = self._measured_at = float('-inf')
 
-    def note_shown(self, now):
-        """Note that cuts have shown the short answers to be errors."""
-        self._shown_at = now
+    def note_detection(self, now):
+        """Record that cuts have shown the short answers to be errors."""
+        self._detected_at = now
 
     def are_shown(self, now):
-        """Say whether short answers were lately shown to be errors."""
-        return now - self._shown_at < PROOF_S
+        """Return whether short answers were recently found to be errors."""
+        return now - self._detected_at < DETECTION_VALID_S
 
     def measure(self, tally, now):
-        """Take all short answers for errors, since targets have room.
+        """Update the share of errors while targets have room.
+
+        All short answers are errors then.
 
         :param tally: :class:`~cornelgap.decisions.answer_tally.Tally`.
         """
-        for priority, answers in tally.priorities.items():
-            share = tally.shorts.get(priority, 0) / answers
-            self._shares.setdefault(priority, Average(SHARE)).add(share)
+        for priority, answers in tally.answers_by_priority.items():
+            share = tally.sheds_by_priority.get(priority, 0) / answers
+            self._shares.setdefault(priority, Average(STEP_WEIGHT)).add(share)
         self._measured_at = now
 
-    def take_off(self, tally, failing, now):
-        """Return a tally without the answers that are probably errors.
+    def subtract_errors(self, tally, failing, now):
+        """Return a copy of a tally without the answers that are likely errors.
 
         :param tally: :class:`~cornelgap.decisions.answer_tally.Tally`.
-        :param failing: whether all short ones are known to be errors.
+        :param failing: whether all short answers are known to be errors.
         """
-        errors = tally.shorts if failing else self._count_errors(tally, now)
+        errors = (
+            tally.sheds_by_priority
+            if failing
+            else self._count_errors(tally, now)
+        )
         if not errors:
             return tally
-        left = 1 - sum(errors.values()) / tally.sheds
+        kept = 1 - sum(errors.values()) / tally.sheds
         return Tally(
             tally.since,
             {
-                target: [answers - sheds * (1 - left), sheds * left]
+                target: [answers - sheds * (1 - kept), sheds * kept]
                 for target, (answers, sheds) in tally.targets.items()
             },
             {
                 priority: answers - errors.get(priority, 0)
-                for priority, answers in tally.priorities.items()
+                for priority, answers in tally.answers_by_priority.items()
             },
-            tally.offered,
+            tally.openings_by_priority,
             {
-                priority: shorts - errors.get(priority, 0)
-                for priority, shorts in tally.shorts.items()
+                priority: sheds - errors.get(priority, 0)
+                for priority, sheds in tally.sheds_by_priority.items()
             },
-            tally.waits,
+            tally.waits_by_target,
         )
 
     def _count_errors(self, tally, now):
-        kept = compute_decay(now - self._measured_at, HALF_LIFE_S)
-        found = {}
+        decay = compute_decay(now - self._measured_at, HALF_LIFE_S)
+        errors = {}
         for priority, average in self._shares.items():
-            share = min(MOST, average.read(0) * kept)
-            answers = tally.priorities.get(priority, 0)
-            number = min(share * answers, tally.shorts.get(priority, 0))
+            share = min(MAX_ERROR_SHARE, average.read(0) * decay)
+            answers = tally.answers_by_priority.get(priority, 0)
+            number = min(
+                share * answers, tally.sheds_by_priority.get(priority, 0)
+            )
             if number:
-                found[priority] = number
-        return found
+                errors[priority] = number
+        return errors
 
 
-def are_late(tally):
-    """Say whether those targets that shed answer after a queue's wait.
+def answers_are_late(tally):
+    """Return whether most answers of targets that shed come late.
 
     :param tally: :class:`~cornelgap.decisions.answer_tally.Tally`.
     """
--- a/cornelgap/decisions/overload.py
+++ b/cornelgap/decisions/overload.py
@@ -1,95 +1,106 @@
-"""Which share of new flows is admitted while targets shed.
+"""Admitted share of new flows, by priority, while targets shed load.
 
 Load pattern: callers ask for several times what a service's targets serve.
 A full target answers "not run", the caller retries at once, and each retry
-is placed on a full target again: three tries for one request, and a request
-that callers need most fares like any other.  Slots stay busy, but packets
-that serve nobody fill links and processors, and openings wait behind them.
-
-An instance measures which share of the answers that pass here are sheds.
-Above :data:`HIGH` it cuts what it admits to what was served, least urgent
-priority first; below :data:`LOW` it raises it again, most urgent first, by
-what full targets have served beyond what they serve now.  A better priority
-is cut only by what it asks beyond the room by itself: worse requests on
-flows that are already open cannot be refused, and better ones must not make
-room for them.  Evidence counts from the last change on, so
-that one overload is not answered twice, and a change follows what was
-measured: instances that act alone see the same share of sheds at the shared
+is placed on a full target again.  One request then takes three tries, and
+urgent requests are shed as often as all others.  Slots stay busy, but packets
+of requests that are not served fill links and processors, and openings (the
+first packets of new flows) wait behind them.
+
+An instance measures which share of the answers that it forwards are sheds.
+Above :data:`HIGH` it cuts what it admits to what the targets served, the
+least urgent priority first.  Below :data:`LOW` it raises the admitted shares
+again, the most urgent priority first, by what full targets have served in
+excess of what they serve now.  A more urgent priority is cut only by the part
+of its own demand that exceeds the capacity: less urgent requests on open
+flows can't be refused, and more urgent ones must not be cut to make room for
+them.
+
+Answers count from the last change of the shares on, so that one overload does
+not cause two cuts.  The size of a change follows from what was measured:
+instances act independently, but all see the same share of sheds at the shared
 targets and cut by the same factor.
 
-Sheds of a minority of the targets close nothing.  Without this a few
-targets that answer errors would turn callers away from all others.  Errors
+If only a minority of the targets shed, nothing is cut.  Otherwise a few
+targets that answer with errors would cause refusals for all others.  Errors
 of all targets look like sheds, too; ``error_shares`` tells them apart.
 """
 
 from cornelgap.decisions.answer_tally import Tally
-from cornelgap.decisions.error_shares import CutSeries, ErrorShares, are_late
+from cornelgap.decisions.error_shares import (
+    CutSeries,
+    ErrorShares,
+    answers_are_late,
+)
 
 WINDOW_S = 1.0
 """Age up to which answers count."""
 
 STEP_S = 0.25
-"""Time between two changes: several round trips and a full queue's wait, so
-that most answers in it belong to openings after the last change."""
+"""Interval between two changes: several round trips and the wait in a full
+queue, so that most answers in it belong to openings after the last change."""
 
-GOAL = 0.05
-"""Share of sheds that a cut aims at.  Queues of the targets are then full
-enough that no slot idles, and one request in twenty needs a retry."""
+SHED_SHARE_GOAL = 0.05
+"""Share of sheds that a cut aims at.  The targets' queues are then full
+enough that no slot is idle, and one request in twenty needs a retry."""
 
 HIGH = 0.1
 LOW = 0.05
 """Shares of sheds above which the least urgent priority is cut and below
-which it is raised, and as much more for each better one; the distance keeps
-chance from moving them."""
+which it is raised.  For each more urgent priority both grow by the same
+amount again.  The distance keeps random variation from changing shares."""
 
-LEAST_ANSWERS = 20
-"""Answers from which on their share of sheds says something."""
+MIN_ANSWERS = 20
+"""Answers that are needed to compute a share of sheds."""
 
-LEAST_SHEDS = 10
-"""Sheds from which on an overload may begin or grow."""
+MIN_SHEDS = 10
+"""Sheds that are needed for an overload to begin or to grow."""
 
 SIGNS = 2
-"""Steps in a row with too many sheds before an overload begins.  A rush that
-ends within one leaves nothing to refuse."""
+"""Consecutive steps with too many sheds before an overload begins.  A burst
+that ends within one step leaves nothing to refuse."""
 
 FLOOR = 0.005
 """Share of a priority that is always admitted.  A caller of the least urgent
-one gets through now and then, and answers show when there is room."""
+priority still gets through now and then, and answers show when there is
+room."""
 
-LEAST_KEPT = 0.1
-"""Part of a share that a cut leaves at least.  Enough answers must be left
-to show what the cut has changed."""
+MIN_KEPT_PART = 0.1
+"""Lower limit of what one cut leaves of a share.  Enough answers must remain
+to show the effect of the cut."""
 
-RAISE = 0.02
-GROWTH = 0.1
-"""Least step up, and step up as a part of the present share: targets may
-serve more than when they were last full.  Twice as much for the next
-better priority, which takes its room from the worst one."""
+MIN_RAISE = 0.02
+RELATIVE_RAISE = 0.1
+"""Lower limit of a raise, absolute and as a part of the present share; targets
+may serve more than when they were last full.  Twice as much for the second
+least urgent priority, which takes its room from the least urgent one, and so
+on."""
 
 BUSY = 0.5
-"""Part of what full targets have served below which they have room, whatever
-short answers remain: these are errors, and would keep the gate closed."""
+"""Part of the capacity, as last measured at full targets, below which targets
+have room.  Short answers that remain then are errors, and would otherwise
+keep shares from being raised."""
 
-ROOM_GROWTH = 0.5
-"""Step up as a part of what is served, where targets that fail requests have
-room: no cut can make their errors fewer.  They may be full after two such
-steps."""
+RELATIVE_RAISE_WITH_ROOM = 0.5
+"""Raise as a part of what is served, where targets that fail requests have
+room, since no cut can make their errors fewer.  They may be full after two
+such steps."""
 
-TRIES = 3
-"""Times that callers try a request, which is shed or refused, at once."""
+MAX_TRIES = 3
+"""Times that callers send a request that is shed or refused at once."""
 
 YOUNG_S = 1.0
-"""Time after a start or standstill in which sheds do not count.  Callers
-that waited in an outage return with their next copy, 0.6 s later at most;
-their rush is over before a refusal would help."""
+"""Time after a start or standstill in which sheds don't count.  Callers that
+waited during an outage return with their next retransmission, 0.6 s later at
+most; this burst is over before a refusal would help."""
 
 
 def is_spread(sheds, shedding, targets):
-    """Say whether sheds are spread over a majority of the targets.
+    """Return whether sheds are spread over a majority of the targets.
 
-    A few sheds cannot come from many targets.  They count as spread if they
-    came from at least as many targets as chance would draw for so many from
-    a bare majority.
+    A few sheds can't come from many targets.  So they count as spread if they
+    came from at least the expected number of targets for that many random
+    draws from a bare majority.
 
     :param sheds: number of sheds.
     :param shedding: number of targets that they came from.
@@ -101,12 +112,12 @@
 
 
 def find_bounds(shares):
-    """Find the shares of sheds below and above which shares change.
+    """Return the shares of sheds below and above which shares change.
 
-    They are higher where a more urgent priority is at stake.  Instances
-    that see one overload differently then agree on what gives way first: a
-    worse priority that is admitted at one is cut while a better one that is
-    limited at another is raised.
+    They are higher where a more urgent priority would be changed.  Instances
+    that see one overload differently then agree on the order: a less urgent
+    priority admitted at one instance is cut while a more urgent one limited
+    at another is raised.
 
     :param shares: admitted share by priority.
     :returns: tuple (share below which the most urgent limited priority is
@@ -123,76 +134,84 @@
 def cut_shares(shares, tally):
     """Cut admitted shares to what targets served, the least urgent first.
 
-    :param shares: admitted share by priority; 0 is the most urgent one.
+    :param shares: admitted share by priority; priority 0 is the most urgent.
     :param tally: :class:`Tally`.
     :returns: the new shares by priority.
     """
     shed_share = tally.sheds / tally.answers
-    room = (tally.answers - tally.sheds) / (1 - GOAL)
-    # A request that is no longer shed is not tried again; what passes of a
-    # limited priority stays as many.
-    tries = sum(shed_share**number for number in range(TRIES))
+    capacity = (tally.answers - tally.sheds) / (1 - SHED_SHARE_GOAL)
+    # A request that is no longer shed is not retried.  Of a priority that is
+    # already limited, as many requests are admitted as before.
+    expected_tries = sum(shed_share**number for number in range(MAX_TRIES))
     demands = {
-        priority: answers / (tries if shares.get(priority, 1) >= 1 else 1)
-        for priority, answers in tally.priorities.items()
+        priority: answers
+        / (expected_tries if shares.get(priority, 1) >= 1 else 1)
+        for priority, answers in tally.answers_by_priority.items()
     }
-    found = dict(shares)
-    worst = max(shares)
+    new_shares = dict(shares)
+    least_urgent = max(shares)
     for priority in sorted(shares, reverse=True):
         share = shares[priority]
-        left = room - sum(
+        remaining = capacity - sum(
             demand for other, demand in demands.items() if other < priority
         )
-        answers = tally.priorities.get(priority, 0)
-        wanted = answers if priority == worst else demands.get(priority, 0)
-        if answers and share > FLOOR and left < wanted:
-            kept = max(left / answers, LEAST_KEPT)
-            found[priority] = max(share * kept, FLOOR)
-        if left > 0 and share > FLOOR:
+        answers = tally.answers_by_priority.get(priority, 0)
+        own_demand = (
+            answers if priority == least_urgent else demands.get(priority, 0)
+        )
+        if answers and share > FLOOR and remaining < own_demand:
+            kept = max(remaining / answers, MIN_KEPT_PART)
+            new_shares[priority] = max(share * kept, FLOOR)
+        if remaining > 0 and share > FLOOR:
             break
-        # Requests on open flows pass in any case; better ones are not cut
-        # to make room for them.
-        passed = tally.offered.get(priority, 0) * found[priority]
-        room -= min(answers, passed)
-    return found
+        # Requests on open flows can't be refused; more urgent priorities
+        # are not cut to make room for them.
+        admitted = (
+            tally.openings_by_priority.get(priority, 0) * new_shares[priority]
+        )
+        capacity -= min(answers, admitted)
+    return new_shares
 
 
-def raise_shares(shares, offered, spare):
+def raise_shares(shares, openings_by_priority, spare):
     """Raise admitted shares, the most urgent priority first.
 
     :param shares: admitted share by priority.
-    :param offered: openings by priority, refused ones too.
-    :param spare: openings that targets could have served besides.
+    :param openings_by_priority: number of openings by priority, including
+        refused ones.
+    :param spare: number of further openings that targets could have served.
     :returns: the new shares by priority.
     """
-    found = dict(shares)
+    new_shares = dict(shares)
     ordered = sorted(shares)
     ranks = {name: rank for rank, name in enumerate(reversed(ordered))}
     for priority in ordered:
         share = shares[priority]
         if share >= 1:
             continue
-        asked = offered.get(priority, 0)
-        refused = asked * (1 - share)
+        openings = openings_by_priority.get(priority, 0)
+        refused = openings * (1 - share)
         if refused > spare:
-            step = max(RAISE, GROWTH * share) * (1 + ranks[priority])
-            found[priority] = min(1, share + max(step, spare / asked))
+            step = max(MIN_RAISE, RELATIVE_RAISE * share) * (
+                1 + ranks[priority]
+            )
+            new_shares[priority] = min(1, share + max(step, spare / openings))
             break
-        found[priority] = 1
+        new_shares[priority] = 1
         spare -= refused
-    return found
+    return new_shares
 
 
 class Gate:
-    """The admitted shares of one service.
+    """Controls the admitted shares of one service.
 
     :param priorities: of the service's requests.
     :ivar shares: admitted share by priority; all 1 while there is room.
-    :ivar began_at: when the present overload began, None without one.
-    :ivar shed_share: share of sheds at the last decision, without errors.
-    :ivar calm: whether targets had room at the last decision.
-    :ivar failing: whether short answers were errors then, of targets that
-        had room.
+    :ivar began_at: start of the present overload, None without one.
+    :ivar shed_share: share of sheds at the last step, without errors.
+    :ivar calm: whether targets had room at the last step.
+    :ivar failing: whether the short answers at the last step were errors of
+        targets that had room.
     """
 
     def __init__(self, priorities):
@@ -201,133 +220,149 @@
         self.began_at = None
         self.shed_share = 0
         self.calm = self.failing = False
-        self._signs = 0
-        self._room_per_s = 0
+        self._overloaded_steps = 0
+        self._capacity_per_s = 0
         self._errors = ErrorShares()
-        self._cuts = None
-        self._step_at = float('-inf')
-        self._before = self._now = Tally(float('-inf'))
+        self._cut_series = None
+        self._next_step_at = float('-inf')
+        self._previous = self._current = Tally(float('-inf'))
 
     @property
     def limited(self):
-        """Say whether any opening may be refused."""
+        """Return whether any opening may be refused."""
         return self.began_at is not None
 
     @property
-    def _suspected(self):
-        return not self.limited and 0 < self._signs < SIGNS
+    def _is_suspected(self):
+        return not self.limited and 0 < self._overloaded_steps < SIGNS
 
     def set_priorities(self, priorities):
-        """Take over the priorities of a newer configuration."""
+        """Apply the priorities of a newer configuration."""
         self.shares = {name: self.shares.get(name, 1) for name in priorities}
-        self._note_end()
+        self._detect_end()
 
     def note_answer(self, target, priority, shed, answered_at, prompt=None):
-        """Count an answer, unless it is older than the last change.
+        """Count an answer, unless it is older than the counted period.
 
         :param prompt: whether it came as soon as from a target with room;
             None if that is not known.
         """
-        if answered_at >= self._now.since:
-            self._now.add(target, priority, shed, prompt)
-        elif answered_at >= self._before.since:
-            self._before.add(target, priority, shed, prompt)
+        if answered_at >= self._current.since:
+            self._current.add(target, priority, shed, prompt)
+        elif answered_at >= self._previous.since:
+            self._previous.add(target, priority, shed, prompt)
 
     def note_opening(self, priority):
         """Count an opening, admitted or not."""
-        self._now.add_opening(priority)
+        self._current.add_opening(priority)
 
-    def step(self, now, young=False):
-        """Change the admitted shares if it is time and there is reason.
+    def step(self, now, starting=False):
+        """Adjust the admitted shares once in :data:`STEP_S`.
 
-        :param young: whether sheds do not count yet.
-        :returns: whether they have changed.
+        :param starting: whether sheds don't count yet, see :data:`YOUNG_S`.
+        :returns: whether the shares have changed.
         """
-        if now < self._step_at:
+        if now < self._next_step_at:
             return False
-        self._step_at = now + STEP_S
-        if young:
-            self._before = self._now = Tally(now)
+        self._next_step_at = now + STEP_S
+        if starting:
+            self._previous = self._current = Tally(now)
             return False
-        tally = self._sum()
+        tally = self._merge_tallies()
         span_s = min(WINDOW_S, now - tally.since)
-        if tally.answers < LEAST_ANSWERS and span_s < WINDOW_S:
+        if tally.answers < MIN_ANSWERS and span_s < WINDOW_S:
             return False
-        before, self.shares = self.shares, self._choose(tally, span_s, now)
+        before, self.shares = (
+            self.shares,
+            self._compute_shares(tally, span_s, now),
+        )
         changed = self.shares != before
         if changed:
             self._note_change(now)
-        if changed or self._suspected:
-            self._before = self._now = Tally(now)
-        elif now - self._now.since >= WINDOW_S / 2:
-            self._before, self._now = self._now, Tally(now)
+        if changed or self._is_suspected:
+            self._previous = self._current = Tally(now)
+        elif now - self._current.since >= WINDOW_S / 2:
+            self._previous, self._current = self._current, Tally(now)
         return changed
 
-    def _sum(self):
-        if self._before is self._now:
-            return self._now
-        found = Tally(self._before.since)
-        found.merge(self._before)
-        found.merge(self._now)
-        return found
+    def _merge_tallies(self):
+        if self._previous is self._current:
+            return self._current
+        merged = Tally(self._previous.since)
+        merged.merge(self._previous)
+        merged.merge(self._current)
+        return merged
 
-    def _choose(self, tally, span_s, now):
+    def _compute_shares(self, tally, span_s, now):
         short_share = tally.sheds / max(1, tally.answers)
         self.failing = self._is_failing(tally, span_s, now)
         if self.failing:
             self._errors.measure(tally, now)
         self.calm = self.failing or (not self.limited and short_share < HIGH)
-        rest = self._errors.take_off(tally, self.failing, now)
-        self.shed_share = rest.sheds / max(1, rest.answers)
+        corrected = self._errors.subtract_errors(tally, self.failing, now)
+        self.shed_share = corrected.sheds / max(1, corrected.answers)
         low, high = find_bounds(self.shares)
-        spread = is_spread(rest.sheds, rest.count_shedding(), len(rest.targets))
-        many = self.shed_share > high and rest.sheds >= LEAST_SHEDS
-        if many and spread:
-            return self._choose_less(rest, span_s)
-        self._signs = 0
+        spread = is_spread(
+            corrected.sheds, corrected.count_shedding(), len(corrected.targets)
+        )
+        above_limit = self.shed_share > high and corrected.sheds >= MIN_SHEDS
+        if above_limit and spread:
+            return self._compute_cut(corrected, span_s)
+        self._overloaded_steps = 0
         if self.shed_share < low:
-            self._cuts = None
-        room = self._room_per_s * span_s
-        busy = tally.served >= BUSY * room
+            self._cut_series = None
+        capacity = self._capacity_per_s * span_s
+        busy = tally.served >= BUSY * capacity
         if self.failing and short_share >= low:
-            spare = max(room - rest.answers, ROOM_GROWTH * rest.answers)
-            # So many openings are needed for one that does not fail.
-            spare *= tally.answers / max(1, rest.answers)
-            return raise_shares(self.shares, tally.offered, spare)
+            spare = max(
+                capacity - corrected.answers,
+                RELATIVE_RAISE_WITH_ROOM * corrected.answers,
+            )
+            # Number of openings for each one that does not fail.
+            spare *= tally.answers / max(1, corrected.answers)
+            return raise_shares(self.shares, tally.openings_by_priority, spare)
         if self.shed_share < low or not spread or not busy:
-            spare = 0 if rest.sheds and busy else max(0, room - rest.answers)
-            return raise_shares(self.shares, tally.offered, spare)
+            spare = (
+                0
+                if corrected.sheds and busy
+                else max(0, capacity - corrected.answers)
+            )
+            return raise_shares(self.shares, tally.openings_by_priority, spare)
         return self.shares
 
     def _is_failing(self, tally, span_s, now):
-        """Say whether the short answers are errors of targets with room."""
-        if are_late(tally):
-            self._cuts = None
+        """Return whether the short answers are errors of targets with room."""
+        if answers_are_late(tally):
+            self._cut_series = None
             return False
         if not tally.sheds:
             return False
-        if self._cuts is not None and self._cuts.shows_room(tally, span_s):
-            self._errors.note_shown(now)
-            self._room_per_s = self._cuts.served_per_s
-            self._cuts = None
+        if self._cut_series is not None and self._cut_series.indicates_room(
+            tally, span_s
+        ):
+            self._errors.note_detection(now)
+            self._capacity_per_s = self._cut_series.served_per_s
+            self._cut_series = None
         return self._errors.are_shown(now)
 
-    def _choose_less(self, tally, span_s):
-        self._signs += 1
-        if self._suspected:
+    def _compute_cut(self, tally, span_s):
+        self._overloaded_steps += 1
+        if self._is_suspected:
             return self.shares
-        self._room_per_s = tally.served / span_s
-        if self._cuts is None or self._cuts.is_relieved(tally):
-            self._cuts = CutSeries(tally, span_s)
-        found = cut_shares(self.shares, tally)
-        self._cuts.note_cut(self.shares, found)
-        return found
+        self._capacity_per_s = tally.served / span_s
+        if self._cut_series is None or self._cut_series.is_shed_share_lower(
+            tally
+        ):
+            self._cut_series = CutSeries(tally, span_s)
+        new_shares = cut_shares(self.shares, tally)
+        self._cut_series.note_cut(self.shares, new_shares)
+        return new_shares
 
     def _note_change(self, now):
         if self.began_at is None:
             self.began_at = now
-        self._note_end()
+        self._detect_end()
 
-    def _note_end(self):
+    def _detect_end(self):
         if all(share >= 1 for share in self.shares.values()):
             self.began_at = None
