--- a/cornelgap/decisions/admission.py
+++ b/cornelgap/decisions/admission.py
@@ -106,8 +106,8 @@
     def offer(self, now, job):
         """Start, queue or refuse a new job or one that its target shed.
 
-        If the queue is full, the refused job may be another than the offered
-        one: the newest job of the caller with the most waiting jobs.
+        If too many jobs wait, the refused job may be another than the offered
+        one: the last job of the caller with the most jobs in the longest queue.
         """
         step = Step()
         if job.key in self._lane_by_key:
@@ -186,7 +186,7 @@
         self._refuse(step, now, lane, job, code)
 
     def _refuse(self, step, now, lane, job, code):
-        base_ms = 1000 * lane.predict_drain()
+        base_ms = 1000 * lane.predict_queue_time()
         base_ms = min(max(base_ms, _MIN_RETRY_MS), _MAX_RETRY_MS)
         retry_ms = pick_retry_after_ms(self._rng, base_ms)
         step.refuse.append(Refusal(job, code, retry_ms))
--- a/cornelgap/decisions/lanes.py
+++ b/cornelgap/decisions/lanes.py
@@ -108,10 +108,10 @@
         job_class = self._get_class(job)
         if not job_class.queue and not job_class.running:
             return now < job.deadline
-        interval = job_class.predict_interval(self._get_limit(job_class))
+        interval_s = job_class.predict_interval(self._get_limit(job_class))
         ahead = job_class.queue.count_ahead(job.caller)
-        wait = interval * (ahead + 1) * _WAIT_FACTOR
-        return now + wait + self._estimate_duration(job) <= job.deadline
+        wait_s = interval_s * (ahead + 1) * _WAIT_FACTOR
+        return now + wait_s + self._estimate_duration(job) <= job.deadline
 
     def push(self, job):
         """Add a job to its queue."""
@@ -213,7 +213,7 @@
             wake = min(wake, self._pause.until)
         return max(now, wake)
 
-    def predict_drain(self):
+    def predict_queue_time(self):
         """Return the expected seconds until the queues are empty."""
         return sum(
             job_class.predict_interval(self._get_limit(job_class))
@@ -272,3 +272,4 @@
 
 
 _TIMED_ENDS = frozenset((CallEnd.OK, CallEnd.TIMEOUT))
+"""Ends that tell how long a job takes."""
