--- a/cornelgap/decisions/target_choice.py
+++ b/cornelgap/decisions/target_choice.py
@@ -1,44 +1,50 @@
-"""Which target a new forwarded flow opens on.
-
-Load pattern: targets serve two or three requests at once and flows last for
-minutes, so a flow that is placed badly makes its target's queue longer for
-as long as it lives.  Several instances place flows at the same time, each
-with news of the others that is a moment old.  If all of them take the
-target that looked idlest, it gets all flows of that moment; if each takes
-one at random, the busiest target carries a third more than the mean.
-
-Targets are filled like a vessel with water: the flows that all instances
-together will open before the next news are poured over the least loaded
-targets, and a flow takes a target with the probability of the share that
-was poured there.  With few flows between two news this is "the least
-loaded", with many it is "even".
-
-The availability zone is chosen first, by the mean load of its targets.  A
-target that has just been added is empty, and instances of other zones hear
-late of what it has got since: choosing among all targets at once, each of
-them would go on sending it flows long after it is full.
+"""Selection of the target for a new forwarded flow.
+
+A target serves two or three requests at once and flows last for minutes, so
+a badly placed flow lengthens its target's queue for as long as it lives.
+Several instances place flows concurrently, and each knows the flows of the
+others only as of their last report.  If every instance picked the target
+that looked least loaded, that target would receive all flows opened until
+the next report; if each picked at random, the busiest target would carry a
+third more than the mean.
+
+The choice is a randomised water-filling: the flows that all instances are
+expected to open before the next report are distributed over the targets,
+least loaded first, until their loads are level.  A target is then drawn with
+a probability proportional to the number of flows assigned to it.  With few
+expected flows the result is close to "least loaded", with many it is close
+to an even distribution.
+
+The availability zone is drawn first, by the mean load of its targets.
+Instances in other zones learn late how many flows a newly added target has
+received.  With a single draw over all targets, they would keep sending flows
+to it long after it is full.
 """
 
 from itertools import groupby
 
 from msgspec import Struct
 
-COLD_COST = 1.6
-"""A target that has just started works this many times slower."""
+COLD_LOAD_FACTOR = 1.6
+"""How many times slower a target works just after its start."""
 
 FAR_FACTOR = 1.5
-FAR_FLOWS = 2.0
-"""Another availability zone looks this much more loaded, in flows a slot.
-When a zone is cut off, its callers lose the flows that they have beyond the
-cut, and bytes between zones cost; but a zone with few targets must not queue
-while others idle."""
+OTHER_ZONE_FLOWS_PER_SLOT = 2.0
+"""Factor and surcharge on the load of a target in another zone.
+
+Traffic between zones is billed, and a caller loses its flows into a zone
+that is cut off.  The surcharge is bounded so that a zone with few targets
+does not queue requests while targets in other zones are idle."""
 
 
 class Candidate(Struct, frozen=True):
-    """A target that may take a new flow.
+    """A target that may receive the new flow.
 
-    :param flows: open flows on it that are known here.
-    :param waiting: of these, flows that wait for an answer.
+    :param target: its record in the directory, with slots and zone.
+    :param flows: open flows on it that this instance knows of.
+    :param waiting: how many of these flows are waiting for an answer.
+    :param near: whether it is in the availability zone of this instance.
+    :param cold: whether it has just started.
     """
 
     target: object
@@ -49,11 +55,11 @@
 
 
 class Vessel(Struct, frozen=True):
-    """What flows are poured into: a target, or all targets of a zone.
+    """A target, or all targets of a zone, to distribute flows over.
 
-    :param cost: how loaded it is, in flows a slot.
+    :param cost: its load, in flows per slot.
     :param slots: requests that it serves at once.
-    :param content: a candidate, or the zone's list of vessels.
+    :param content: the candidate, or the vessels of the zone's candidates.
     """
 
     cost: float
@@ -62,23 +68,23 @@
 
 
 def measure_cost(candidate):
-    """Return how loaded a target is, in flows a slot."""
+    """Return the load of a target, in flows per slot."""
     slots = max(1, candidate.target.slots)
-    cost = (candidate.flows + candidate.waiting) / slots
+    load = (candidate.flows + candidate.waiting) / slots
     if candidate.cold:
-        # The flow that is being placed counts too, or a cold target without
-        # any flow would look as good as a warm one.
-        cost = (cost + 1 / slots) * COLD_COST - 1 / slots
-    return cost
+        # The factor also applies to the flow being placed; otherwise a cold
+        # target without flows would score the same as a warm one.
+        load = (load + 1 / slots) * COLD_LOAD_FACTOR - 1 / slots
+    return load
 
 
 def choose_target(candidates, poured, rng):
-    """Choose among candidates, None if there are none.
+    """Choose the target of a new flow; None if there are no candidates.
 
     :param candidates: list of :class:`Candidate`.
-    :param poured: flows that all instances of the zone open before the next
-        news; at least the one that is being placed.
-    :param rng: generator for the choice among equals.
+    :param poured: flows that all instances of the zone are expected to open
+        before the next report, including the one being placed.
+    :param rng: random generator.
     """
     if not candidates:
         return None
@@ -103,17 +109,17 @@
 
 def _make_zone(members):
     slots = sum(member.slots for member in members)
-    cost = sum(member.cost * member.slots for member in members) / slots
+    load = sum(member.cost * member.slots for member in members) / slots
     if not members[0].content.near:
-        cost = cost * FAR_FACTOR + FAR_FLOWS
-    return Vessel(cost, slots, members)
+        load = load * FAR_FACTOR + OTHER_ZONE_FLOWS_PER_SLOT
+    return Vessel(load, slots, members)
 
 
 def pour(vessels, poured, rng):
-    """Draw a vessel by the shares of what is poured over all of them.
+    """Draw one of the vessels, weighted by water-filling.
 
     :param vessels: at least one :class:`Vessel`.
-    :param poured: flows, at least 1.
+    :param poured: flows to distribute; values below 1 count as 1.
     """
     if len(vessels) == 1:
         return vessels[0]
@@ -122,19 +128,22 @@
         key=lambda entry: entry[:2],
     )
     level = _find_level(ranked, max(poured, 1.0))
-    shares = [max(0, level - cost) * vessel.slots for cost, _, vessel in ranked]
+    shares = [max(0, level - load) * vessel.slots for load, _, vessel in ranked]
     return rng.choices(ranked, shares)[0][2]
 
 
 def _find_level(ranked, poured):
-    """Return the level, in flows a slot, to which the water rises."""
+    """Return the load, in flows per slot, up to which vessels are filled.
+
+    :param ranked: tuples of load, tie breaker and vessel, by rising load.
+    """
     slots = 0
-    weighed = 0
-    for position, (cost, _, vessel) in enumerate(ranked):
+    total_load = 0
+    for position, (load, _, vessel) in enumerate(ranked):
         slots += vessel.slots
-        weighed += cost * vessel.slots
-        level = (weighed + poured) / slots
+        total_load += load * vessel.slots
+        level = (total_load + poured) / slots
         last = position + 1 == len(ranked)
         if last or level <= ranked[position + 1][0]:
             return level
-    raise ValueError('no candidates')
+    raise ValueError('cannot compute a level without candidates')
