--- a/cornelgap/decisions/membership.py
+++ b/cornelgap/decisions/membership.py
@@ -1,18 +1,19 @@
-"""Which entry instances there are, as this one may believe.
-
-The platform's list lags: an entry in it may be dead, a leaving one gone, a
-new one missing.  So the list is only a hint of whom to ask; what a peer
-answers is the fact.  Nothing here needs a network: the caller sends what
-:meth:`Membership.choose_pings` names and notes what it hears.
-
-Grounds for the figures: a ping and its answer are about 100 bytes each on
-the wire.  Two peers that hear each other need one exchange a second between
-them, so six instances spend about 1 KB/s each.  Beyond that the rate is
-capped: 4 pings a second sent and as many received, with their answers, are
-about 1.7 KB/s of the 3 KB/s that control may use, at any fleet size.
-Without the cap, 690 instances that ask everybody once a second would spend
-140 KB/s each.  A flow's home is asked at once by the packets relayed to it,
-so the cap does not delay the notice of a death that matters to a flow.
+"""Failure detection and membership among entry instances.
+
+The platform's instance list lags: an instance on it may have crashed, a
+leaving one may be gone, and a new one may be missing.  The list therefore
+only suggests whom to ping, and the peers' own answers decide who is alive.
+Nothing here does any I/O: the caller sends the pings that
+:meth:`Membership.choose_pings` returns and reports what it receives.
+
+Bandwidth: a ping and its answer take about 100 bytes each on the wire.  Two
+peers that hear each other need one exchange a second between them, so each
+of six instances spends about 1 KB/s.  In larger fleets the rate is capped: 4
+pings a second sent and as many received, with their answers, take about 1.7
+KB/s of the 3 KB/s reserved for control traffic, whatever the fleet size.
+Without the cap, each of 690 instances that ping all others once a second
+would spend 140 KB/s.  Packets relayed to a flow's home probe it as well, so
+the cap does not delay the detection of a failure that affects a flow.
 """
 
 import heapq
@@ -22,43 +23,52 @@
 from cornelgap.core.control import Instance, PeerRevision
 from cornelgap.core.stamps import Stamp
 
-PING_EVERY_S = 1.0
-"""A peer that was heard from within this time is not asked."""
+PING_INTERVAL_S = 1.0
+"""A peer that was heard within this time is not pinged."""
 
-PING_RATE = 4.0
-"""Pings a second at most, whatever the size of the fleet."""
+MAX_PINGS_PER_S = 4.0
+"""Limit on pings a second, whatever the size of the fleet."""
 
-SUSPECT_EVERY_S = 0.25
-"""How often a peer that owes an answer is asked again."""
+PROBE_RETRY_S = 0.25
+"""Interval of pings to a peer that has not answered the last one.
 
-LOST_ASKS = 3
-"""Unanswered asks, apart in time, after which a peer may be called lost."""
+Probes closer together than this count as one."""
+
+MIN_UNANSWERED_PROBES = 3
+"""Unanswered probes, spread over time, before a peer may be called lost."""
 
 LOST_AFTER_S = 1.0
-"""Silence after the first unanswered ask before a peer is called lost.
+"""Time since the first unanswered probe before a peer is called lost.
 
-Three lost exchanges in a row have a chance of about 1 in 100,000 where 1%
-of the packets is lost each way."""
+At 1% packet loss each way, three lost exchanges in a row have a probability
+of about 1 in 100,000."""
 
 FORGET_AFTER_S = 30.0
-"""Silence after which an instance that is not listed is forgotten."""
+"""Time of silence after which a peer that is not listed is removed."""
 
-PAUSE_S = 0.75
-"""A gap between two turns that shows that this process was paused."""
+PAUSE_THRESHOLD_S = 0.75
+"""A gap between two rounds of pings that shows that the process was paused."""
 
-PAST_BOOTS = 4
-"""How many former boots of a name are remembered."""
+MAX_PREVIOUS_BOOTS = 4
+"""Boot nonces of replaced processes that are kept for each name."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of one entry instance.
+    """What is known of another entry instance.
+
+    A probe is any datagram that the peer has to answer: a ping or a relayed
+    packet.
 
+    :param listed: whether the platform's last list contained it.
     :param boot: nonce of its process, 0 if never heard.
+    :param stamp: era and revision of the configuration it has in force.
     :param heard_at: last time that it was heard, None if never.
-    :param asked_at: first ask since it was last heard, None if none.
-    :param asks: asks since then that were apart in time.
-    :param doubted_boot: boot that a token named and that was never heard.
+    :param unanswered_since: first probe since then, None if none.
+    :param unanswered_probes: probes since then, without those sent in bursts.
+    :param unconfirmed_boot: boot that a token named and that was never heard.
+    :param unconfirmed_since: when such a token was first seen.
+    :param previous_boots: boots of processes that were replaced.
     """
 
     name: str
@@ -70,41 +80,46 @@
     boot: int = 0
     stamp: Stamp = Stamp()
     heard_at: float | None = None
-    asked_at: float | None = None
-    last_ask_at: float = float('-inf')
-    asks: int = 0
-    seen_at: float = 0
-    doubted_boot: int = 0
-    doubted_at: float = 0
-    past_boots: list = field(default_factory=list)
+    unanswered_since: float | None = None
+    last_probe_at: float = float('-inf')
+    unanswered_probes: int = 0
+    first_seen_at: float = 0
+    unconfirmed_boot: int = 0
+    unconfirmed_since: float = 0
+    previous_boots: list = field(default_factory=list)
 
 
 class Membership:
-    """View of the other entry instances; holds state, decides purely."""
+    """The other entry instances and whether they are alive.
+
+    :param own: name of this instance.
+    :param zone: its availability zone.
+    :param rng: random generator for the order of pings.
+    """
 
     def __init__(self, own, zone, rng):
-        """Start with nobody known."""
+        """Start without any known peer."""
         self.own = own
         self.zone = zone
         self._rng = rng
         self._peers = {}
-        self._tokens = PING_RATE
-        self._turn_at = None
+        self._tokens = MAX_PINGS_PER_S
+        self._round_at = None
         self._stamp = Stamp()
-        self._top_stamp = Stamp()
-        self._news_at = float('-inf')
+        self._highest_stamp = Stamp()
+        self._adopted_at = float('-inf')
 
     @classmethod
     def from_settings(cls, own, zone, rng=None):
-        """Build the view of the instance that has this name and zone.
+        """Build the membership of the instance with this name and zone.
 
-        :param rng: generator for jitter; by default seeded by the name, so
-            that no two instances ask in the same order.
+        :param rng: random generator; by default seeded by the name, so that
+            instances ping their peers in different orders.
         """
         return cls(own, zone, rng or random.Random(own))
 
     def note_listed(self, now, instances):
-        """Take in the platform's list.
+        """Update the peers from the platform's instance list.
 
         :param instances: :class:`cornelgap.core.control.Instance` items.
         """
@@ -113,131 +128,140 @@
         for instance in instances:
             if instance.name == self.own:
                 continue
-            peer = self._get_peer(now, instance.name)
+            peer = self._get_or_add_peer(now, instance.name)
             peer.listed = True
             peer.zone = instance.zone
             peer.address = instance.address
             peer.api = instance.api or peer.api
-            # A stale list may not know yet of a planned stop that the peer
-            # itself has told; only what it says can undo that.
+            # The list may be older than the peer's own announcement of a
+            # planned stop; only the peer itself can withdraw that.
             peer.leaving = instance.leaving or (
                 peer.leaving and peer.heard_at is not None
             )
-        self._forget_silent(now)
+        self._remove_silent(now)
 
     def note_hinted(self, now, instances):
-        """Take in peers that another peer names.
+        """Add peers that another peer knows of.
 
-        Only what is unknown is filled in: the platform's list and what a
-        peer says of itself are nearer to the truth.
+        Only missing fields are filled in: the platform's list and a peer's
+        own datagrams are more reliable than what a third instance says.
 
         :param instances: :class:`cornelgap.core.control.Instance` items.
         """
         for instance in instances:
             if instance.name == self.own:
                 continue
-            peer = self._get_peer(now, instance.name)
+            peer = self._get_or_add_peer(now, instance.name)
             peer.zone = peer.zone or instance.zone
             peer.address = peer.address or instance.address
             peer.api = peer.api or instance.api
 
     def note_heard(self, now, name, boot, stamp, leaving, api, address=''):
-        """Take in any authentic datagram of a peer.
-
-        :param stamp: place of the configuration that it has in force.
-        :param address: ``host:port`` that it came from; a new instance is
-            heard before the platform lists it.
+        """Record an authenticated datagram from a peer.
+
+        :param boot: boot nonce of the process that sent it.
+        :param stamp: era and revision of the configuration it has in force.
+        :param leaving: whether it has begun a planned stop.
+        :param api: ``host:port`` of its gRPC server, empty if not stated.
+        :param address: ``host:port`` that the datagram came from; a new
+            instance may be heard before the platform lists it.
         """
         if name == self.own:
             return
-        peer = self._get_peer(now, name)
-        if boot in peer.past_boots:
-            # A late datagram of a process that has been replaced.  Taking
-            # it as a sign of life would make the live process look lost.
+        peer = self._get_or_add_peer(now, name)
+        if boot in peer.previous_boots:
+            # A delayed datagram of a process that has been replaced.  If it
+            # counted as a sign of life, the live process would look lost.
             return
         if peer.boot and peer.boot != boot:
-            peer.past_boots = [*peer.past_boots, peer.boot][-PAST_BOOTS:]
+            peer.previous_boots = [*peer.previous_boots, peer.boot][
+                -MAX_PREVIOUS_BOOTS:
+            ]
         peer.boot = boot
         peer.stamp = stamp
-        self._top_stamp = max(self._top_stamp, stamp)
+        self._highest_stamp = max(self._highest_stamp, stamp)
         peer.leaving = leaving
         peer.api = api or peer.api
         peer.address = address or peer.address
         peer.heard_at = now
-        peer.asked_at = None
-        peer.asks = 0
+        peer.unanswered_since = None
+        peer.unanswered_probes = 0
 
     def note_adopted(self, now, stamp):
-        """Note that this instance has a new configuration in force.
+        """Record that this instance has a new configuration in force.
 
-        Peers that state an older one are told by the next pings instead of
-        a second later.
+        Peers with an older one become due for a ping at once, rather than up
+        to a second later, and learn of the new one from it.
         """
         self._stamp = stamp
-        self._news_at = now
+        self._adopted_at = now
 
     def note_sent(self, now, name):
-        """Note that something was sent to a peer that it must answer."""
+        """Record that a peer was sent a datagram that it has to answer."""
         if name != self.own:
-            self._note_ask(now, self._get_peer(now, name))
+            self._record_probe(now, self._get_or_add_peer(now, name))
 
     def is_lost(self, now, name, boot):
-        """Say whether the process of this name and boot is gone.
+        """Return whether the process with this name and boot is gone.
 
-        It is, if it was asked several times for about a second without an
-        answer, or if another process answers by its name.  An instance that
-        was never asked is not lost, listed or not.
+        It is gone if it left several probes unanswered for about a second,
+        or if another process answers under its name.  A peer that was never
+        probed is not lost, whether it is listed or not.
 
-        :param boot: nonce that a token names, 0 for whichever runs now.
+        :param boot: boot nonce from a token, 0 for the current process.
         """
         peer = self._peers.get(name)
         if peer is None:
             return False
-        if boot and boot in peer.past_boots:
+        if boot and boot in peer.previous_boots:
             return True
         if boot and peer.boot and peer.boot != boot:
             return self._is_replaced(now, peer, boot)
-        return self._is_silent(now, peer)
+        return self._is_unresponsive(now, peer)
 
     def choose_pings(self, now):
-        """Choose whom to ask now, and note that they are asked.
+        """Choose the peers to ping now, and record the pings as sent.
 
-        Call it at least twice a second.
+        Must be called at least twice a second; a longer gap is taken for a
+        pause of this process.
 
-        :returns: names, those that owe an answer first.
+        :returns: names, peers with an unanswered probe first.
         """
-        self._note_turn(now)
+        self._start_round(now)
         if self._tokens < 1:
-            # Looking at 690 peers in each turn to choose none of them took
-            # 8% of a core, twice what all of control may use.
+            # Scanning 690 peers in each round only to choose none took 8% of
+            # a core, twice the budget of all control traffic.
             return []
         due = []
         for peer in self._peers.values():
             if peer.address and self._is_due(now, peer):
-                rank = (not self._owes(now, peer), self._find_contact(peer))
+                rank = (
+                    not self._is_awaiting_answer(now, peer),
+                    self._find_last_contact(peer),
+                )
                 due.append((*rank, self._rng.random(), peer.name))
         chosen = heapq.nsmallest(int(self._tokens), due)
         self._tokens -= len(chosen)
         names = [item[-1] for item in chosen]
         for name in names:
-            self._note_ask(now, self._peers[name])
+            self._record_probe(now, self._peers[name])
         return names
 
     def list_live(self, now):
-        """List the peers that can take new work, in the order of names.
+        """Return the names of peers that can take new work, sorted.
 
-        Where nobody has been asked yet, the hint of the list stands.
+        Peers that were never probed count as live if they are listed.
         """
         return sorted(
             peer.name
             for peer in self._peers.values()
             if not peer.leaving
             and (peer.listed or peer.heard_at is not None)
-            and not self._is_silent(now, peer)
+            and not self._is_unresponsive(now, peer)
         )
 
     def list_live_instances(self, now):
-        """List the peers of :meth:`list_live` as :class:`Instance`."""
+        """Return the peers of :meth:`list_live` as :class:`Instance`."""
         peers = (self._peers[name] for name in self.list_live(now))
         return [
             Instance(peer.name, peer.zone, peer.address, peer.api)
@@ -245,8 +269,11 @@
         ]
 
     def list_ahead(self, stamp):
-        """List peers that state a later configuration, as `PeerRevision`."""
-        if self._top_stamp <= stamp:
+        """Return the peers with a newer configuration than ``stamp``.
+
+        :returns: list of :class:`cornelgap.core.control.PeerRevision`.
+        """
+        if self._highest_stamp <= stamp:
             return []
         return [
             PeerRevision(peer.name, peer.api, peer.stamp)
@@ -255,96 +282,111 @@
         ]
 
     def has_unknown(self):
-        """Say whether a peer that was to be reached has no address here."""
+        """Return whether a peer that was probed has no known address."""
         return any(
-            peer.asks and not peer.address for peer in self._peers.values()
+            peer.unanswered_probes and not peer.address
+            for peer in self._peers.values()
         )
 
     def list_peers(self):
-        """List all known peers as :class:`Peer`, in the order of names."""
+        """Return all known peers as :class:`Peer`, sorted by name."""
         return [self._peers[name] for name in sorted(self._peers)]
 
     def find_address(self, name):
-        """Find ``host:port`` for datagrams to a peer; empty if unknown."""
+        """Return ``host:port`` for datagrams to a peer; empty if unknown."""
         peer = self._peers.get(name)
         return peer.address if peer else ''
 
     def find_api(self, name):
-        """Find ``host:port`` of a peer's gRPC server; empty if unknown."""
+        """Return ``host:port`` of a peer's gRPC server; empty if unknown."""
         peer = self._peers.get(name)
         return peer.api if peer else ''
 
     def _is_replaced(self, now, peer, boot):
-        # A boot that was never heard may be older or newer than the one
-        # that was.  Calling it lost at once would, after each restart, take
-        # live flows away from the new process until its first datagram is
-        # here.  What the name answers from now on decides.
-        if peer.doubted_boot != boot:
-            peer.doubted_boot = boot
-            peer.doubted_at = now
-        if peer.heard_at > peer.doubted_at:
+        # A boot that was never heard may be older or newer than the one that
+        # was.  If it were called lost at once, each restart would move live
+        # flows away from the new process until its first datagram arrives.
+        # It is lost once the name is heard again with another boot.
+        if peer.unconfirmed_boot != boot:
+            peer.unconfirmed_boot = boot
+            peer.unconfirmed_since = now
+        if peer.heard_at > peer.unconfirmed_since:
             return True
-        return self._is_silent(now, peer)
+        return self._is_unresponsive(now, peer)
 
     def find_boot(self, name):
-        """Find the boot nonce of a peer's process; 0 if never heard."""
+        """Return the boot nonce of a peer's process; 0 if never heard."""
         peer = self._peers.get(name)
         return peer.boot if peer else 0
 
-    def _get_peer(self, now, name):
+    def _get_or_add_peer(self, now, name):
         peer = self._peers.get(name)
         if peer is None:
-            peer = Peer(name=name, seen_at=now)
+            peer = Peer(name=name, first_seen_at=now)
             self._peers[name] = peer
         return peer
 
-    def _note_ask(self, now, peer):
-        if now - peer.last_ask_at < SUSPECT_EVERY_S and peer.asks:
-            # A burst of relayed packets can be lost as one; it counts once.
+    def _record_probe(self, now, peer):
+        if now - peer.last_probe_at < PROBE_RETRY_S and peer.unanswered_probes:
+            # A burst of relayed packets may be lost as a whole, so it counts
+            # as one probe.
             return
-        if peer.asked_at is None:
-            peer.asked_at = now
-        peer.asks += 1
-        peer.last_ask_at = now
-
-    def _is_silent(self, now, peer):
-        if peer.asked_at is None or peer.asks < LOST_ASKS:
+        if peer.unanswered_since is None:
+            peer.unanswered_since = now
+        peer.unanswered_probes += 1
+        peer.last_probe_at = now
+
+    def _is_unresponsive(self, now, peer):
+        if (
+            peer.unanswered_since is None
+            or peer.unanswered_probes < MIN_UNANSWERED_PROBES
+        ):
             return False
-        if self._turn_at is not None and now - self._turn_at > PAUSE_S:
+        if (
+            self._round_at is not None
+            and now - self._round_at > PAUSE_THRESHOLD_S
+        ):
             return False
-        return now - peer.asked_at >= LOST_AFTER_S
+        return now - peer.unanswered_since >= LOST_AFTER_S
 
     def _is_due(self, now, peer):
-        if self._owes(now, peer):
-            return now - peer.last_ask_at >= SUSPECT_EVERY_S
-        if peer.stamp < self._stamp and peer.last_ask_at < self._news_at:
+        if self._is_awaiting_answer(now, peer):
+            return now - peer.last_probe_at >= PROBE_RETRY_S
+        if peer.stamp < self._stamp and peer.last_probe_at < self._adopted_at:
             return True
-        return now - self._find_contact(peer) >= PING_EVERY_S
+        return now - self._find_last_contact(peer) >= PING_INTERVAL_S
 
-    def _owes(self, now, peer):
-        # A peer already called lost must not take the pings of the others.
-        return peer.asked_at is not None and not self._is_silent(now, peer)
+    def _is_awaiting_answer(self, now, peer):
+        # Peers already called lost are pinged at the normal interval, so that
+        # they do not use up the pings of the others.
+        return peer.unanswered_since is not None and not self._is_unresponsive(
+            now, peer
+        )
 
-    def _find_contact(self, peer):
+    def _find_last_contact(self, peer):
         heard = float('-inf') if peer.heard_at is None else peer.heard_at
-        return max(heard, peer.last_ask_at)
+        return max(heard, peer.last_probe_at)
 
-    def _note_turn(self, now):
-        gap = 0 if self._turn_at is None else now - self._turn_at
-        self._turn_at = now
-        self._tokens = min(PING_RATE, self._tokens + gap * PING_RATE)
-        if gap <= PAUSE_S:
+    def _start_round(self, now):
+        gap = 0 if self._round_at is None else now - self._round_at
+        self._round_at = now
+        self._tokens = min(
+            MAX_PINGS_PER_S, self._tokens + gap * MAX_PINGS_PER_S
+        )
+        if gap <= PAUSE_THRESHOLD_S:
             return
-        # This process stood still, and answers may lie unread in its
-        # socket.  Counting that time as silence would make all peers look
-        # lost at once, and every flow would be re-homed for nothing.
+        # This process was paused, and answers may wait unread in its socket.
+        # If the pause counted as silence, all peers would be called lost at
+        # once and every flow re-homed needlessly.
         for peer in self._peers.values():
-            peer.asked_at = None
-            peer.asks = 0
+            peer.unanswered_since = None
+            peer.unanswered_probes = 0
 
-    def _forget_silent(self, now):
+    def _remove_silent(self, now):
         for name, peer in list(self._peers.items()):
-            since = peer.seen_at if peer.heard_at is None else peer.heard_at
-            since = max(since, peer.last_ask_at)
+            since = (
+                peer.first_seen_at if peer.heard_at is None else peer.heard_at
+            )
+            since = max(since, peer.last_probe_at)
             if not peer.listed and now - since > FORGET_AFTER_S:
                 self._peers.pop(name)
