--- a/cornelgap/decisions/placement.py
+++ b/cornelgap/decisions/placement.py
@@ -1,11 +1,12 @@
-"""On which target a flow is placed, and when it is moved.
-
-Load pattern: few targets with few slots, shared by six entries that do not
-coordinate; flows live for hours, so a bad choice lasts.  What an entry
-knows first-hand (its own flows and requests in flight) is fresh and nobody
-else acts on it; reports of targets are late, and everybody acts on them.
-So own counts lead, reports correct them and fade, and no report can make a
-target attractive by itself.
+"""Assignment of flows to targets, and rebalancing between targets.
+
+A service has few targets with few slots each, shared by six entry instances
+that do not coordinate.  Flows last for hours, so a bad assignment has a
+lasting effect.  An instance's own counts of flows and requests in flight are
+current, and no other instance reacts to them.  Load reported by targets is
+late, and all instances react to it at the same time.  The score of a target
+is therefore based on own counts; reports only correct it, their influence
+decays, and no report alone can make a target attractive.
 """
 
 import enum
@@ -20,41 +21,56 @@
 from cornelgap.decisions.slowstart import compute_share
 from cornelgap.decisions.targetload import TargetLoad
 
-_LOAD_WEIGHT = 0.3
-"""How much one request in flight per slot counts against a mean share of
-flows; measured in docs/DECISIONS.md."""
+_IN_FLIGHT_WEIGHT = 0.3
+"""Weight of one request in flight per slot, relative to a mean share of flows.
 
-_ZONE_COST = 0.02
-"""What another zone costs, in mean shares of flows: 0.5 ms more each way
-against 3 ms to the caller, so it decides only between near equals."""
+docs/DECISIONS.md has the measurements behind it."""
 
-_MIN_SLOWNESS = 1.25
-"""The mean of ten requests varies by this much without a cause."""
+_OTHER_ZONE_PENALTY = 0.02
+"""Score added to targets in other zones, in mean shares of flows.
+
+Crossing zones adds 0.5 ms each way to the 3 ms to the caller, so the penalty
+decides only between nearly equal targets."""
+
+_SLOWNESS_THRESHOLD = 1.25
+"""The mean time of ten requests varies by this factor by chance."""
 
 _MAX_SLOWNESS = 8.0
 
-_PANIC_SHARE = 0.5
-"""Fewer trusted targets than this share: spread over all of them."""
+_PANIC_THRESHOLD = 0.5
+"""If a smaller share of targets is healthy, flows are spread over all."""
+
+_MIN_IMBALANCE_S = 5.0
+"""How long an imbalance must last before flows are moved.
+
+An imbalance caused by a burst of new flows evens out by itself."""
+
+_IMBALANCE_TOLERANCE = 0.1
+"""Difference, in mean shares of flows, tolerated at an imbalance weight of 1."""
 
-_HOLD_S = 5.0
-"""How long an imbalance must last; a burst of opens evens out by itself."""
+_REBALANCING_MOVES_PER_S = 5.0
+"""Limit on moves that only mend an imbalance.
 
-_TOLERANCE = 0.1
-"""Gap, in mean shares of flows, that a weight of 1 leaves alone."""
+Mending an imbalance that would last for hours may take a minute; handing
+over a feed needlessly is the greater loss."""
 
-_MOVES_PER_S = 5.0
-"""An imbalance of hours may take a minute to mend; a feed handed over for
-nothing is the worse loss."""
+_CONN_HEADROOM = 1.25
+"""Factor on this instance's even share of a target's connections.
 
-_CONN_SLACK = 1.25
-"""The fabric spreads flows unevenly; a target refuses the rest itself."""
+The fabric spreads flows unevenly over instances.  Targets refuse connections
+beyond their own limit themselves."""
 
 
-_NOBODY = frozenset()
+_NO_TARGETS = frozenset()
 
 
 class TargetState(enum.Enum):
-    """What placement does with a target."""
+    """State of a target as placement sees it.
+
+    Cold targets get a reduced share of new flows.  Ejected, draining and gone
+    targets get none and their flows move away, except that ejected ones stay
+    in use below the panic threshold.
+    """
 
     ACTIVE = 'active'
     COLD = 'cold'
@@ -65,10 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """One flow, any, that should get a new target.
+    """A request to move one flow, whichever, to another target.
 
-    :param from_target: its target now.
-    :param to_target: its next target.
+    :param from_target: name of its current target.
+    :param to_target: name of its new target.
     """
 
     from_target: str
@@ -77,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """One target as status shows it."""
+    """State and load of one target, for the status report."""
 
     target: str
     state: TargetState
@@ -86,23 +102,23 @@
 
 
 class Placement:
-    """Targets of one service as one entry instance sees and uses them.
+    """Assigns the flows of one service on one entry instance to targets.
 
     :param service: its :class:`~cornelgap.core.settings.ServiceCfg`.
     :param zone: availability zone of this instance.
-    :param rng: generator.
+    :param rng: random generator.
     """
 
     def __init__(self, service, zone, rng):
-        """Start with all targets of the configuration, taken as warm."""
+        """Start with all targets of the configuration, treated as warm."""
         self._zone = zone
         self._rng = rng
         self._instances = 1
         self._health = Health(rng)
         self._loads = {}
         self._imbalanced_since = None
-        self._pacer = Pacer(_MOVES_PER_S, 1)
-        self._take_cfg(service, None)
+        self._pacer = Pacer(_REBALANCING_MOVES_PER_S, 1)
+        self._apply_cfg(service, None)
 
     @classmethod
     def from_cfg(cls, service, zone, rng):
@@ -111,74 +127,75 @@
 
     def adopt_cfg(self, service, now):
         """Adopt a newer configuration; targets new in it start cold."""
-        self._take_cfg(service, now)
+        self._apply_cfg(service, now)
 
     def set_instances(self, count):
-        """Say how many entry instances share the targets' connections."""
+        """Set how many entry instances share the targets' connections."""
         self._instances = max(1, count)
 
-    def choose_target(self, now, exclude=_NOBODY):
+    def choose_target(self, now, exclude=_NO_TARGETS):
         """Choose the target of a new or moved flow.
 
         :param now: seconds.
-        :param exclude: names not wanted.
-        :return: a name, or None if no target may take a flow.
+        :param exclude: names of targets that must not be chosen.
+        :return: a name, or None if no target can take a flow.
         """
-        names = self._list_usable(now, exclude)
+        names = self._list_eligible(now, exclude)
         if not names:
             return None
-        scores = self._score(now, names)
+        scores = self._compute_scores(now, names)
         lowest = min(scores.values())
         return self._rng.choice(
             [name for name, score in scores.items() if score == lowest]
         )
 
     def note_flow(self, target, change):
-        """Count a flow pinned (+1) or let go (-1) by this instance."""
+        """Count a flow that was pinned (+1) or released (-1)."""
         load = self._loads.get(target)
         if load is not None:
             load.flows = max(0, load.flows + change)
-            self._drop_if_gone(target)
+            self._remove_if_gone(target)
 
     def note_start(self, target, now):
-        """Count a request that was sent."""
+        """Count a request that was sent to a target."""
         load = self._loads.get(target)
         if load is not None:
             load.note_in_flight(now, 1)
 
     def note_end(self, target, now, ended, took_s):
-        """Take in the end of a request.
+        """Record the end of a request.
 
         :param ended: a :class:`~cornelgap.decisions.ends.CallEnd`.
-        :param took_s: seconds since its home received it.  The wait at home
-            belongs to it: a target with a hot flow answers each request
-            as usual while its queue grows.
+        :param took_s: seconds since the flow's home instance received it.
+            Includes the time queued there: a target with a busy flow answers
+            each request as fast as usual while that queue grows.
         """
         load = self._loads.get(target)
         if load is not None:
             load.note_in_flight(now, -1)
-            if ended in _TELLING_ENDS:
+            if ended in _TIMED_ENDS:
                 load.took.add(took_s)
             self._health.note_end(target, now, ended)
 
     def note_report(self, target, now, in_flight, waiting, slots, draining):
-        """Take in the load that a target stated with an answer."""
+        """Record the load that a target reported with an answer."""
         load = self._loads.get(target)
         if load is not None:
             load.note_report(now, in_flight + waiting)
             load.reports_draining = draining
 
     def choose_moves(self, now, limit):
-        """Choose flows to move, at most ``limit``, each make before break.
+        """Choose at most ``limit`` flows to move, make before break.
 
-        Flows leave targets that drain or fail first; an imbalance is only
-        mended once it has lasted, and slowly.
+        Flows on draining or failing targets come first.  An imbalance is
+        mended only after it has lasted for a while, and at a limited rate.
 
-        :return: a list of :class:`Move`; call again as pace allows.
+        :return: a list of :class:`Move`; call again for more, at the pace
+            that moves can be made.
         """
-        moves = self._choose_escapes(now, limit)
+        moves = self._choose_evacuations(now, limit)
         if not moves:
-            moves = self._choose_levelling(now, limit)
+            moves = self._choose_rebalancing(now, limit)
         return moves
 
     def describe(self, now):
@@ -193,8 +210,8 @@
             for name, load in sorted(self._loads.items())
         ]
 
-    def _take_cfg(self, service, now):
-        self._weight = service.imbalance_weight
+    def _apply_cfg(self, service, now):
+        self._imbalance_weight = service.imbalance_weight
         self._targets = dict(service.targets)
         for name, target in self._targets.items():
             load = self._loads.get(name)
@@ -203,9 +220,9 @@
                 self._loads[name] = load
             load.slots = max(1, target.slots)
         for name in tuple(self._loads):
-            self._drop_if_gone(name)
+            self._remove_if_gone(name)
 
-    def _drop_if_gone(self, name):
+    def _remove_if_gone(self, name):
         load = self._loads[name]
         if name not in self._targets and not load.flows:
             self._loads.pop(name)
@@ -215,16 +232,19 @@
         target = self._targets.get(name)
         if target is None:
             return TargetState.GONE
-        state = self._read_serving(name, now)
-        if state is TargetState.ACTIVE and self._read_share(name, now) < 1:
+        state = self._read_serving_state(name, now)
+        if (
+            state is TargetState.ACTIVE
+            and self._compute_ramp_share(name, now) < 1
+        ):
             return TargetState.COLD
         return state
 
-    def _read_serving(self, name, now):
-        """Give the state, with cold targets among the active ones.
+    def _read_serving_state(self, name, now):
+        """Return the state of a target, with ACTIVE instead of COLD.
 
-        Each open asks this of each target; how cold one is matters only to
-        its score, where it is worked out once.
+        Runs for each target whenever a flow is opened.  The ramp-up of a
+        cold target affects only its score and is computed there, once.
         """
         target = self._targets[name]
         if (
@@ -236,16 +256,16 @@
             return TargetState.EJECTED
         return TargetState.ACTIVE
 
-    def _read_share(self, name, now):
+    def _compute_ramp_share(self, name, now):
         since = self._loads[name].since
         returned = self._health.read_returned_at(name)
         if since is None and returned is None:
             return 1.0
         return min(compute_share(now, since), compute_share(now, returned))
 
-    def _list_usable(self, now, exclude):
+    def _list_eligible(self, now, exclude):
         states = {
-            name: self._read_serving(name, now)
+            name: self._read_serving_state(name, now)
             for name in self._targets
             if name not in exclude
         }
@@ -255,80 +275,84 @@
             if state is not TargetState.DRAINING
             and self._loads[name].flows < self._limit_flows(name)
         }
-        lit = self._leave_out_dark_zones(serving)
-        trusted = [
+        reachable = self._leave_out_dark_zones(serving)
+        healthy = [
             name
-            for name, state in lit.items()
+            for name, state in reachable.items()
             if state is not TargetState.EJECTED
         ]
-        if len(trusted) < _PANIC_SHARE * len(lit):
-            # Most look bad: then the fault is more likely load, or on our
-            # own side, and the last good target would drown.
-            return list(lit)
-        return trusted
+        if len(healthy) < _PANIC_THRESHOLD * len(reachable):
+            # If most targets look bad, the cause is more likely overload or
+            # this instance itself, and the last good target would be flooded.
+            return list(reachable)
+        return healthy
 
     def _leave_out_dark_zones(self, serving):
-        # A cut between zones makes all targets of the other zones look bad
-        # at once.  Without this the panic rule would send most flows into
-        # the cut; the own zone's good targets show that we are not at fault.
-        dark = {self._targets[name].zone for name in serving}
-        dark -= {
+        # A network partition between zones makes all targets of the other
+        # zones look bad at once.  The panic threshold would then send most
+        # flows to unreachable targets.  Good targets in the own zone show
+        # that this instance is not the cause.
+        failed_zones = {self._targets[name].zone for name in serving}
+        failed_zones -= {
             self._targets[name].zone
             for name, state in serving.items()
             if state is not TargetState.EJECTED
         }
-        own_lit = any(
-            self._targets[name].zone == self._zone and self._zone not in dark
+        own_zone_good = any(
+            self._targets[name].zone == self._zone
+            and self._zone not in failed_zones
             for name in serving
         )
-        if not own_lit:
+        if not own_zone_good:
             return serving
         return {
             name: state
             for name, state in serving.items()
-            if self._targets[name].zone not in dark
+            if self._targets[name].zone not in failed_zones
         }
 
     def _limit_flows(self, name):
         conns = self._targets[name].conns
         if self._instances == 1:
             return conns
-        return math.ceil(conns / self._instances * _CONN_SLACK)
+        return math.ceil(conns / self._instances * _CONN_HEADROOM)
 
-    def _score(self, now, names, load_weight=_LOAD_WEIGHT):
-        """Return the score of each name; the lowest takes the next flow."""
+    def _compute_scores(self, now, names, in_flight_weight=_IN_FLIGHT_WEIGHT):
+        """Return the score of each target; the lowest gets the next flow."""
         loads = {name: self._loads[name] for name in names}
         flows = sum(load.flows for load in loads.values())
         slots = sum(load.slots for load in loads.values())
         mean_flows = max(flows / slots, 1 / slots)
         others = sum(load.others for load in loads.values()) / slots
         scores = {}
-        usual_took = self._read_usual_took(loads)
+        median_took = self._compute_median_took(loads)
         for name, load in loads.items():
-            slowness = _rate_slowness(load, usual_took)
+            slowness = _compute_slowness(load, median_took)
             share = load.slots / slowness
-            # An ejected target is only here when panic spreads flows.
+            # Ejected targets are only scored below the panic threshold.
             if self._read_state(name, now) is not TargetState.EJECTED:
-                share *= self._read_share(name, now)
-            busy = load.estimate(now, others * load.slots) / load.slots
+                share *= self._compute_ramp_share(name, now)
+            in_flight_per_slot = (
+                load.estimate(now, others * load.slots) / load.slots
+            )
             score = (load.flows + 1) / share / mean_flows
-            score += load_weight * busy
+            score += in_flight_weight * in_flight_per_slot
             if self._targets[name].zone != self._zone:
-                score += _ZONE_COST
+                score += _OTHER_ZONE_PENALTY
             scores[name] = score
         return scores
 
-    def _read_usual_took(self, loads):
+    def _compute_median_took(self, loads):
         known = [load.took.read(0) for load in loads.values()]
         return statistics.median(known) if all(known) else 0
 
-    def _choose_escapes(self, now, limit):
+    def _choose_evacuations(self, now, limit):
         moves = []
-        usable = set(self._list_usable(now, _NOBODY))
+        eligible = set(self._list_eligible(now, _NO_TARGETS))
         for name, load in sorted(self._loads.items()):
-            if name in usable or not usable:
+            if name in eligible or not eligible:
                 continue
-            if self._read_state(name, now) in _STAYING:
+            if self._read_state(name, now) in _HEALTHY_STATES:
                 continue
             moves += self._plan_moves(now, name, min(load.flows, limit))
             limit -= len(moves)
@@ -343,47 +367,50 @@
             if to_target is None:
                 break
             moves.append(Move(name, to_target))
-            # Counted at once, so that the next move sees this one.
+            # Counted for now, so that the next choice sees this move.
             self._loads[to_target].flows += 1
         for move in moves:
             self._loads[move.to_target].flows -= 1
         return moves
 
-    def _choose_levelling(self, now, limit):
-        names = self._list_usable(now, _NOBODY)
-        if len(names) < 2 or self._weight <= 0:
+    def _choose_rebalancing(self, now, limit):
+        names = self._list_eligible(now, _NO_TARGETS)
+        if len(names) < 2 or self._imbalance_weight <= 0:
             return []
-        # Requests in flight change within a second, flows are to stay.
-        scores = self._score(now, names, load_weight=0)
+        # Requests in flight change within a second and would cause moves of
+        # flows that are meant to stay, so only flows are compared.
+        scores = self._compute_scores(now, names, in_flight_weight=0)
         highest = max(names, key=scores.get)
         lowest = min(names, key=scores.get)
-        # From highest to lowest, as a joined target is far below the mean
-        # while the others are hardly above it.
+        # Compares the highest with the lowest score, not with the mean: a
+        # newly joined target is far below the mean while the others are
+        # hardly above it.
         gap = scores[highest] - scores[lowest]
-        bound = _TOLERANCE / self._weight
+        bound = _IMBALANCE_TOLERANCE / self._imbalance_weight
         if gap <= bound or self._loads[highest].flows < 2:
             self._imbalanced_since = None
             return []
         if self._imbalanced_since is None:
             self._imbalanced_since = now
-        lasted = now - self._imbalanced_since >= _HOLD_S
+        lasted = now - self._imbalanced_since >= _MIN_IMBALANCE_S
         if limit < 1 or not lasted or not self._pacer.take(now, urgent=True):
             return []
         return [Move(highest, lowest)]
 
 
-def _rate_slowness(load, usual_took):
+def _compute_slowness(load, median_took):
     """Return how many times slower than usual a target answers, 1 to 8.
 
-    Its flows then count as that many: a slow target, a cold one, or one
-    with a hot flow, gets fewer new flows and gives up some that it has.
+    Each flow on the target counts this many times.  A target that is slow,
+    cold, or has a busy flow gets fewer new flows and loses some of its own.
     """
-    if not usual_took:
+    if not median_took:
         return 1.0
-    ratio = load.took.read(usual_took) / usual_took
-    # Without a jump at the bound: there each answer would move a flow.
-    return min(1 + max(0, ratio - _MIN_SLOWNESS), _MAX_SLOWNESS)
+    ratio = load.took.read(median_took) / median_took
+    # Continuous at the threshold: with a jump there, each answer could move
+    # a flow.
+    return min(1 + max(0, ratio - _SLOWNESS_THRESHOLD), _MAX_SLOWNESS)
 
 
-_TELLING_ENDS = frozenset((CallEnd.OK, CallEnd.TIMEOUT))
-_STAYING = frozenset((TargetState.ACTIVE, TargetState.COLD))
+_TIMED_ENDS = frozenset((CallEnd.OK, CallEnd.TIMEOUT))
+_HEALTHY_STATES = frozenset((TargetState.ACTIVE, TargetState.COLD))
