--- a/cornelgap/decisions/placement.py
+++ b/cornelgap/decisions/placement.py
@@ -46,7 +46,7 @@
 An imbalance caused by a burst of new flows evens out by itself."""
 
 _IMBALANCE_TOLERANCE = 0.1
-"""Difference, in mean shares of flows, tolerated at an imbalance weight of 1."""
+"""Difference in mean shares of flows that an imbalance weight of 1 allows."""
 
 _REBALANCING_MOVES_PER_S = 5.0
 """Limit on moves that only mend an imbalance.
