--- a/cornelgap/decisions/__init__.py
+++ b/cornelgap/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure modules without network, clock or thread."""
+"""Load balancing and overload decisions, without I/O, clocks or threads."""
