--- a/cornelgap/decisions/backoff.py
+++ b/cornelgap/decisions/backoff.py
@@ -1,22 +1,25 @@
-"""Pauses that double with each failure in a row, up to a bound.
+"""Truncated exponential backoff.
 
-Load pattern: something that is asked again and again is away, for a second
-or for hours.  Without a bound the first try after its return comes late;
-without doubling it is pressed while it recovers.  Jitter is the caller's.
+A server that is called repeatedly may be down for a second or for hours.
+Without an upper bound, the first retry after its recovery comes late; without
+doubling, retries overload it while it recovers.  Callers add their own
+jitter.
 """
 
-MOST_DOUBLINGS = 30
-"""A factor of 10**9, beyond any bound in use.  Unlimited, the power of two
-outgrows a float after a thousand failures, and the task that counts ends
-with an error, on all instances in the same minute of a long outage."""
+MAX_DOUBLINGS = 30
+"""Limit on the exponent; a factor of 10**9 exceeds any bound in use.
+
+Without it, the power of two overflows a float after a thousand failures, and
+the calling task ends with an error, on all instances in the same minute of a
+long outage."""
 
 
 def compute_backoff(first_s, failures, longest_s):
-    """Return the pause after some failures in a row, seconds.
+    """Return the delay before the next attempt, in seconds.
 
-    :param first_s: pause after the first failure.
-    :param failures: at least 1.
-    :param longest_s: bound of the pause.
+    :param first_s: delay after the first failure, in seconds.
+    :param failures: number of consecutive failures, at least 1.
+    :param longest_s: upper bound of the delay, in seconds.
     """
-    doublings = min(failures - 1, MOST_DOUBLINGS)
+    doublings = min(failures - 1, MAX_DOUBLINGS)
     return min(first_s * 2**doublings, longest_s)
