--- a/cornelgap/decisions/polling.py
+++ b/cornelgap/decisions/polling.py
@@ -1,86 +1,95 @@
-"""When to register with the platform and when to read its instance list.
-
-Load pattern: the list grows with the fleet and the targets, while an entry
-instance may use a few kilobytes a second for control.  At 690 entries and
-4,600 targets one reading is some 400 KB; read every two seconds by
-everybody it would take 200 KB/s at each instance and 345 calls a second at
-the platform.  So the wait grows with the size of the last answer, and a
-peer of which only the name is known causes an early reading instead.
+"""Scheduling of registrations with the platform and of polls of its lists.
+
+The list grows with the number of entry instances and targets, while an
+instance may use only a few kilobytes a second for control traffic.  With 690
+entries and 4,600 targets the list has about 400 KB; polled every two seconds
+by every instance, it would take 200 KB/s at each instance and 345 calls a
+second at the platform.  The interval therefore grows with the size of the
+last answer.  When the address of a peer is missing, the list is polled early
+instead.
 """
 
 from cornelgap.decisions.backoff import compute_backoff
 
 REGISTER_S = 2.0
-"""Seconds between two registrations; they lapse after a few."""
+"""Interval of registrations; they lapse after a few missed ones."""
 
 LIST_S = 2.0
-"""Least seconds between two readings of a list."""
+"""Shortest interval between two polls of a list."""
 
 LIST_BYTES_PER_S = 250
-"""What reading one of the two lists may take, in bytes a second: half a
-kilobyte of the three that control may use."""
+"""Bandwidth for polling each of the two lists.
 
-EARLY_FACTOR = 20
-"""How much more an early reading may take, for as long as it is wanted."""
+Together they take half a kilobyte per second, of the three that are reserved
+for control traffic."""
 
-MOST_S = 1200.0
-BACKOFF_MOST_S = 8.0
+EARLY_BANDWIDTH_FACTOR = 20
+"""Factor on the bandwidth for as long as early polls are requested."""
+
+MAX_INTERVAL_S = 1200.0
+MAX_BACKOFF_S = 8.0
 JITTER = 0.2
 
 
 class Poll:
-    """The schedule of one repeated call."""
+    """Schedule of one call that is repeated, with at most one in progress."""
 
-    def __init__(self, rng, least_s, budget=0):
-        """Let the call be due at once.
+    def __init__(self, rng, min_interval_s, bytes_per_s=0):
+        """Schedule the first call at once.
 
-        :param least_s: seconds between two calls at least.
-        :param budget: bytes a second that answers may take, 0 for any.
+        :param rng: random generator for jitter.
+        :param min_interval_s: shortest interval between two calls, in seconds.
+        :param bytes_per_s: bytes per second that answers may take; 0 for no
+            limit.
         """
         self._rng = rng
-        self._least_s = least_s
-        self._budget = budget
-        self._fails = 0
-        self._early_s = least_s
+        self._min_interval_s = min_interval_s
+        self._bytes_per_s = bytes_per_s
+        self._failures = 0
+        self._early_interval_s = min_interval_s
         self._running = False
         self._ended_at = float('-inf')
         self._due_at = float('-inf')
 
     def start_due(self, now):
-        """Say whether to call now; if so, it counts as under way."""
+        """Return whether the call is due; if so, mark it as in progress."""
         if self._running or now < self._due_at:
             return False
         self._running = True
         return True
 
     def hasten(self, now):
-        """Make the call due early, yet not so early that it floods."""
-        early = max(now, self._ended_at + self._early_s)
+        """Bring the next call forward, within the bandwidth of early polls."""
+        early = max(now, self._ended_at + self._early_interval_s)
         self._due_at = min(self._due_at, early)
 
     def note_done(self, now, size=0):
-        """The call has succeeded.
+        """Record that the call has succeeded.
 
-        :param size: bytes of the answer.
+        :param size: size of the answer in bytes.
         """
-        wait = self._least_s
-        if self._budget:
-            wait = min(MOST_S, max(wait, size / self._budget))
-            self._early_s = max(self._least_s, wait / EARLY_FACTOR)
-        self._fails = 0
-        self._end(now, wait)
+        wait = self._min_interval_s
+        if self._bytes_per_s:
+            wait = min(MAX_INTERVAL_S, max(wait, size / self._bytes_per_s))
+            self._early_interval_s = max(
+                self._min_interval_s, wait / EARLY_BANDWIDTH_FACTOR
+            )
+        self._failures = 0
+        self._schedule_next(now, wait)
 
     def note_failed(self, now):
-        """The call has failed; the next one waits longer each time.
+        """Record that the call has failed; back off exponentially.
 
-        Instances that all lost the platform at once must not come back to
-        it at once, or the outage ends in the next one.
+        Instances that lost the platform at the same time must not all retry
+        at the same time, or the end of the outage starts the next one.
         """
-        self._fails += 1
-        first_s = self._least_s / 2
-        self._end(now, compute_backoff(first_s, self._fails, BACKOFF_MOST_S))
+        self._failures += 1
+        first_s = self._min_interval_s / 2
+        self._schedule_next(
+            now, compute_backoff(first_s, self._failures, MAX_BACKOFF_S)
+        )
 
-    def _end(self, now, wait):
+    def _schedule_next(self, now, wait):
         self._running = False
         self._ended_at = now
         self._due_at = now + wait * self._rng.uniform(1 - JITTER, 1 + JITTER)
