--- a/cornelgap/decisions/membership.py
+++ b/cornelgap/decisions/membership.py
@@ -64,8 +64,8 @@
     :param boot: nonce of its process, 0 if never heard.
     :param stamp: era and revision of the configuration it has in force.
     :param heard_at: last time that it was heard, None if never.
-    :param unanswered_since: first probe since then, None if none.
-    :param unanswered_probes: probes since then, without those sent in bursts.
+    :param unanswered_since: time of the first probe since then, None if none.
+    :param unanswered_probes: probes since then; a burst counts as one.
     :param unconfirmed_boot: boot that a token named and that was never heard.
     :param unconfirmed_since: when such a token was first seen.
     :param previous_boots: boots of processes that were replaced.
@@ -103,9 +103,9 @@
         self.zone = zone
         self._rng = rng
         self._peers = {}
-        self._tokens = MAX_PINGS_PER_S
+        self._ping_tokens = MAX_PINGS_PER_S
         self._round_at = None
-        self._stamp = Stamp()
+        self._own_stamp = Stamp()
         self._highest_stamp = Stamp()
         self._adopted_at = float('-inf')
 
@@ -193,7 +193,7 @@
         Peers with an older one become due for a ping at once, rather than up
         to a second later, and learn of the new one from it.
         """
-        self._stamp = stamp
+        self._own_stamp = stamp
         self._adopted_at = now
 
     def note_sent(self, now, name):
@@ -228,7 +228,7 @@
         :returns: names, peers with an unanswered probe first.
         """
         self._start_round(now)
-        if self._tokens < 1:
+        if self._ping_tokens < 1:
             # Scanning 690 peers in each round only to choose none took 8% of
             # a core, twice the budget of all control traffic.
             return []
@@ -240,8 +240,8 @@
                     self._find_last_contact(peer),
                 )
                 due.append((*rank, self._rng.random(), peer.name))
-        chosen = heapq.nsmallest(int(self._tokens), due)
-        self._tokens -= len(chosen)
+        chosen = heapq.nsmallest(int(self._ping_tokens), due)
+        self._ping_tokens -= len(chosen)
         names = [item[-1] for item in chosen]
         for name in names:
             self._record_probe(now, self._peers[name])
@@ -352,7 +352,10 @@
     def _is_due(self, now, peer):
         if self._is_awaiting_answer(now, peer):
             return now - peer.last_probe_at >= PROBE_RETRY_S
-        if peer.stamp < self._stamp and peer.last_probe_at < self._adopted_at:
+        if (
+            peer.stamp < self._own_stamp
+            and peer.last_probe_at < self._adopted_at
+        ):
             return True
         return now - self._find_last_contact(peer) >= PING_INTERVAL_S
 
@@ -370,8 +373,8 @@
     def _start_round(self, now):
         gap = 0 if self._round_at is None else now - self._round_at
         self._round_at = now
-        self._tokens = min(
-            MAX_PINGS_PER_S, self._tokens + gap * MAX_PINGS_PER_S
+        self._ping_tokens = min(
+            MAX_PINGS_PER_S, self._ping_tokens + gap * MAX_PINGS_PER_S
         )
         if gap <= PAUSE_THRESHOLD_S:
             return
