--- a/cornelgap/decisions/membership.py
+++ b/cornelgap/decisions/membership.py
@@ -49,7 +49,7 @@
 PAUSE_THRESHOLD_S = 0.75
 """A gap between two rounds of pings that shows that the process was paused."""
 
-MAX_PREVIOUS_BOOTS = 4
+MAX_OLD_BOOTS = 4
 """Boot nonces of replaced processes that are kept for each name."""
 
 
@@ -68,7 +68,7 @@
     :param unanswered_probes: probes since then; a burst counts as one.
     :param unconfirmed_boot: boot that a token named and that was never heard.
     :param unconfirmed_since: when such a token was first seen.
-    :param previous_boots: boots of processes that were replaced.
+    :param old_boots: boots of processes that were replaced.
     """
 
     name: str
@@ -86,7 +86,7 @@
     first_seen_at: float = 0
     unconfirmed_boot: int = 0
     unconfirmed_since: float = 0
-    previous_boots: list = field(default_factory=list)
+    old_boots: list = field(default_factory=list)
 
 
 class Membership:
@@ -169,14 +169,12 @@
         if name == self.own:
             return
         peer = self._get_or_add_peer(now, name)
-        if boot in peer.previous_boots:
+        if boot in peer.old_boots:
             # A delayed datagram of a process that has been replaced.  If it
             # counted as a sign of life, the live process would look lost.
             return
         if peer.boot and peer.boot != boot:
-            peer.previous_boots = [*peer.previous_boots, peer.boot][
-                -MAX_PREVIOUS_BOOTS:
-            ]
+            peer.old_boots = [*peer.old_boots, peer.boot][-MAX_OLD_BOOTS:]
         peer.boot = boot
         peer.stamp = stamp
         self._highest_stamp = max(self._highest_stamp, stamp)
@@ -213,7 +211,7 @@
         peer = self._peers.get(name)
         if peer is None:
             return False
-        if boot and boot in peer.previous_boots:
+        if boot and boot in peer.old_boots:
             return True
         if boot and peer.boot and peer.boot != boot:
             return self._is_replaced(now, peer, boot)
