--- a/cornelgap/core/calls.py
+++ b/cornelgap/core/calls.py
@@ -1,8 +1,9 @@
-"""What the flow engine asks of its surroundings, and what it hears back.
+"""Effects that the flow engine returns and events that it takes in.
 
 The engine (:mod:`cornelgap.entry.engine`) has no socket, clock or thread.
-It returns effects; actors carry them out and report what happened as
-events.  Tests carry the same effects out with small fakes.
+It returns effects such as :class:`StartRun`; actors execute them and report
+the results as events such as :class:`CallEnded`.  Tests execute the same
+effects with small fakes.
 """
 
 from dataclasses import dataclass
@@ -13,7 +14,7 @@
 
 @dataclass(slots=True)
 class SendCaller:
-    """Send a datagram to a caller's address ``(host, port)``."""
+    """Effect: send a datagram to a caller's address ``(host, port)``."""
 
     address: tuple
     datagram: bytes
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True)
 class SendPeer:
-    """Send a sealed datagram to the entry instance of this name."""
+    """Effect: send a signed datagram to the entry instance of this name."""
 
     peer: str
     datagram: bytes
@@ -29,12 +30,16 @@
 
 @dataclass(slots=True)
 class StartRun:
-    """Run a request at a target and stream its answer back.
+    """Effect: run a request at a target and stream its answer back.
 
     :param call_id: chosen by the engine, unique in its process.
+    :param incarnation: process of the target that is meant, 0 if it is not
+        known yet.
+    :param epoch: request id space that ``number`` belongs to.
     :param deadline: on the engine's clock, in seconds; checked again right
         before the request leaves this process.
-    :param pieces: how many pieces may be read before more is granted.
+    :param pieces: number of pieces that may be read before the next
+        :class:`GrantPieces`.
     """
 
     call_id: int
@@ -53,7 +58,11 @@
 
 @dataclass(slots=True)
 class StartFollow:
-    """Follow a feed at a target from a position on."""
+    """Effect: follow a feed at a target, starting at a position.
+
+    :param payload: topic of the feed, opaque to this process.
+    :param pieces: see :class:`StartRun`.
+    """
 
     call_id: int
     service: str
@@ -68,7 +77,7 @@
 
 @dataclass(slots=True)
 class GrantPieces:
-    """Allow a call to read some more pieces from its target."""
+    """Effect: allow a call to read this many more pieces from its target."""
 
     call_id: int
     pieces: int
@@ -76,19 +85,23 @@
 
 @dataclass(slots=True)
 class StopCall:
-    """Cancel a call; its end is still reported."""
+    """Effect: cancel a call; a :class:`CallEnded` still follows."""
 
     call_id: int
 
 
 @dataclass(slots=True)
 class PieceArrived:
-    """A target sent a piece.
+    """Event: a target sent a piece of an answer or one event of a feed.
+
+    The link has already checked the service and target name that the target
+    states in its first piece.
 
-    :param position: byte offset of an answer, event number of a feed.
-    :param identity: ``(service, target)`` that the target states, checked
-        by the link before it passes the piece on.
-    :param load: :class:`TargetLoad` or None when none came with it.
+    :param position: byte offset in an answer, event number in a feed.
+    :param last: whether the answer is complete with this piece.
+    :param incarnation: the target's process, 0 if the piece does not state
+        it.
+    :param load: :class:`TargetLoad`, or None if the piece carries none.
     """
 
     call_id: int
@@ -101,7 +114,7 @@
 
 @dataclass(slots=True)
 class TargetLoad:
-    """Load that a target states about itself."""
+    """Load that a target reports about itself."""
 
     in_flight: int
     waiting: int
@@ -111,14 +124,14 @@
 
 @dataclass(slots=True)
 class CallEnded:
-    """A call is over.
+    """Event: a call has ended.
 
-    :param ended: how, for placement and admission.
+    :param ended: outcome that placement and admission take into account.
     :param ran: ``NOT_RUN`` only if the request never left this process or
-        the target refused it under its contract; ``DONE`` after the last
-        piece; otherwise ``MAY_HAVE_RUN``.
-    :param code: error code if not done.
-    :param retry_after_ms: what the target asked for, 0 if nothing.
+        the target refused it as its contract allows; ``DONE`` after the
+        last piece; otherwise ``MAY_HAVE_RUN``.
+    :param code: error code, empty if ``ran`` is ``DONE``.
+    :param retry_after_ms: delay that the target asked for, 0 if none.
     """
 
     call_id: int
