--- a/cornelgap/core/control.py
+++ b/cornelgap/core/control.py
@@ -1,7 +1,7 @@
-"""Plain data that the control parts share.
+"""Data classes of the control plane of an entry instance.
 
-Control is everything that is not a caller's packet: which configuration is
-in force, which entry instances there are, and a planned stop.
+The control plane is everything besides callers' packets: which
+configuration is in force, which entry instances exist, and planned stops.
 """
 
 from dataclasses import dataclass
@@ -11,13 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One entry instance as the platform lists it; a hint, never a fact.
+    """One entry instance as the platform lists it.
+
+    The list may be stale, so it is only a hint where an instance may be
+    found, not proof that it runs or has stopped.
 
     :param name: unique name.
     :param zone: availability zone.
     :param address: ``host:port`` of its UDP socket for peers.
     :param api: ``host:port`` of its gRPC server for peers.
-    :param leaving: it has begun a planned stop.
+    :param leaving: whether it has begun a planned stop.
     :param admin: ``host:port`` of its administration API.
     """
 
@@ -31,10 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRevision:
-    """A peer states which configuration it has.
+    """The configuration that a peer says it has.
 
+    :param name: name of the peer.
     :param api: ``host:port`` of the peer's gRPC server, empty if unknown.
-    :param stamp: its :class:`~cornelgap.core.stamps.Stamp`.
+    :param stamp: :class:`~cornelgap.core.stamps.Stamp` of its configuration.
     """
 
     name: str
@@ -44,16 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlView:
-    """What the packet actor knows that the control actors act upon.
-
-    :param stamp: place of the configuration in force.
-    :param ahead: :class:`PeerRevision` of peers that state a later one.
-    :param behind_signs: packets so far that hint at being behind: a token
-        of a later configuration, a key that is not known here.
-    :param unknown_peers: whether something was to go to a peer of which no
-        address is known.
-    :param live: :class:`Instance` items that are alive, without this one;
-        None if not looked at this time.
+    """State of the packet actor that the control actors read.
+
+    :param stamp: stamp of the configuration in force.
+    :param ahead: :class:`PeerRevision` of each peer that says it has a
+        later configuration.
+    :param behind_signs: number of packets so far that suggest that the
+        configuration in force is outdated: their token comes from a later
+        configuration, or names a key that is not known here.
+    :param unknown_peers: whether a datagram could not be sent to a peer
+        because its address is not known.
+    :param live: each live :class:`Instance` except this one; None if they
+        were not listed this time.
     """
 
     stamp: Stamp
