--- a/cornelgap/core/errors.py
+++ b/cornelgap/core/errors.py
@@ -1,17 +1,18 @@
-"""Every error code in one catalogue, and the exception that carries one.
+"""The catalogue of error codes, and the exception that carries a code.
 
 Codes are stable: operators search for them and callers branch on them.
-docs/ERRORS.md is written from this catalogue.
+``python -m bench.errors_page`` generates docs/ERRORS.md from this catalogue.
 """
 
 import enum
 
 
 class Code(enum.StrEnum):
-    """Stable error codes; the prefix names the part that raises them.
+    """Stable error codes; the prefix names the subject area.
 
     ``CFG`` configuration, ``PKT`` datagrams from callers, ``REQ`` requests,
-    ``PLT`` platform, ``OPS`` operators, ``NET`` between entry instances.
+    ``PLT`` platform, ``OPS`` operators' commands, ``NET`` datagrams between
+    entry instances and faults inside one.
     """
 
     # Datagrams from callers.
@@ -71,21 +72,21 @@
     PLT_CONFLICT = 'PLT-003'
     PLT_TOO_LARGE = 'PLT-004'
     PLT_CORRUPT = 'PLT-005'
-    # Between entry instances.
+    # Between and inside entry instances.
     NET_FORGED = 'NET-002'
     NET_ACTOR_CRASHED = 'NET-004'
 
 
 class CodedError(Exception):
-    """An error with a stable code and the place that it is about.
+    """An error with a stable code and the location of its cause.
 
     :param code: one of :class:`Code`.
-    :param text: one short sentence.
+    :param text: description in one short sentence.
     :param place: file and line, field or option; empty if none applies.
     """
 
     def __init__(self, code, text, place=''):
-        """Keep code, text and place as attributes."""
+        """Set the attributes and build the exception's message."""
         super().__init__(f'{code} {place + ": " if place else ""}{text}')
         self.code = code
         self.text = text
