--- a/cornelgap/core/stamps.py
+++ b/cornelgap/core/stamps.py
@@ -1,19 +1,19 @@
-"""Where in the history of the platform's store a fact stands.
+"""Version stamps that order data read from the platform's store.
 
-The store numbers its changes.  When it is restored from a backup, it
-reissues the revisions that were lost, and counts the restore as a new era.
-A revision alone then says nothing: a fact of the new era with a lower
-revision is the later one.
+The store numbers its changes with revisions.  A restore from a backup
+starts a new era, in which the store issues the lost revisions again for
+other changes.  Revisions alone are therefore not comparable: data of a
+later era is newer even if its revision is lower.
 """
 
 from msgspec import Struct
 
 
 class Stamp(Struct, frozen=True, order=True):
-    """Place of a fact in the store's history; later ones compare greater.
+    """Era and revision of stored data; the later stamp compares greater.
 
     :param era: number from 1 that rises when the store is restored from a
-        backup; 0 if the store does not say.
+        backup; 0 if the store does not state it.
     :param revision: number of the change within the era.
     """
 
