--- a/cornelgap/core/settings.py
+++ b/cornelgap/core/settings.py
@@ -1,8 +1,8 @@
-"""The configuration in force, as plain data that every part reads.
+"""Data classes of the configuration.
 
-The folder of INI files is loaded, checked and merged by
-:mod:`cornelgap.cfg`; what comes out is one :class:`Cfg` of a revision.
-Nothing here reads a file or the network.
+:mod:`cornelgap.cfg` loads, checks and merges the folder of INI files and
+builds one :class:`Cfg` for each revision.  This module reads neither files
+nor the network.
 """
 
 import enum
@@ -12,14 +12,17 @@
 
 
 class TargetMode(enum.StrEnum):
-    """What a target may be given."""
+    """Whether a target takes new work or is being drained."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
 
 
 class KeyStage(enum.StrEnum):
-    """Life of a token key; only one key signs at a time."""
+    """Life cycle of a token key; only one key signs at a time.
+
+    Keys of every stage verify tokens.
+    """
 
     PUBLISHED = 'published'
     SIGNING = 'signing'
@@ -30,11 +33,11 @@
 class TargetCfg:
     """One target of a service.
 
-    :param name: unique name, which a target also states about itself.
+    :param name: unique name, which the target also states in its answers.
     :param address: ``host:port`` of its gRPC server.
     :param zone: availability zone.
-    :param slots: requests that it runs at the same time.
-    :param conns: flows that it can hold.
+    :param slots: number of requests that it runs at the same time.
+    :param conns: number of flows that it can hold.
     :param mode: active or draining.
     """
 
@@ -48,16 +51,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCfg:
-    """One service and the figures that its operators chose.
+    """One service and its limits.
 
     :param name: unique name, stated in every datagram of its callers.
-    :param address: public ``host:port``, kept for the audit of moves.
+    :param address: public ``host:port``; a change that gives the address of
+        one service to another is refused.
     :param targets: its targets by name.
-    :param imbalance_weight: from 0 (only broken flows count) to 1 (only
-        imbalance across targets counts).
+    :param imbalance_weight: how much imbalance across targets counts
+        against broken flows when flows are moved, from 0 (only broken flows
+        count) to 1 (only imbalance counts).
     :param deadline_ms: longest deadline that a request may ask for.
-    :param queue_limit: requests waiting at one entry for this service.
-    :param long_share: share of the slots that long jobs may hold.
+    :param queue_limit: most requests that may wait at one entry instance
+        for this service.
+    :param long_share: fraction of the slots that long jobs may hold.
     :param token_s: lifetime of a flow token in seconds.
     """
 
@@ -75,7 +81,7 @@
 class KeyCfg:
     """One key of the token key ring.
 
-    :param key_id: number stated in each token, 1 to 255.
+    :param key_id: number from 1 to 255 that each token states.
     :param secret: the key, 32 bytes.
     :param stage: published, signing or retiring.
     """
@@ -87,13 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cfg:
-    """Everything that an entry instance needs to serve, at one revision.
-
-    :param revision: rises by one with each accepted change; 0 is none yet.
-    :param services: service by name.
-    :param keys: key ring by key id.
-    :param draining_instances: names of entry instances that must leave.
-    :param era: era of the platform's store in which it was read.
+    """The whole configuration of an entry instance at one revision.
+
+    :param revision: rises by one with each accepted change; 0 means that
+        there is no configuration yet.
+    :param services: :class:`ServiceCfg` by name.
+    :param keys: key ring: :class:`KeyCfg` by key id.
+    :param draining_instances: names of entry instances that must stop.
+    :param era: era of the platform's store that it was read in.
     """
 
     revision: int = 0
@@ -104,5 +111,5 @@
 
     @property
     def stamp(self):
-        """Return its place among all configurations."""
+        """Return the stamp that orders this among all configurations."""
         return Stamp(self.era, self.revision)
