--- a/cornelgap/core/messages.py
+++ b/cornelgap/core/messages.py
@@ -1,9 +1,15 @@
 """Typed messages between callers and entry instances.
 
-The bytes are made by :mod:`cornelgap.wire.caller_codec`.  Payloads are
-opaque.  A request is known by (flow, epoch, number): the epoch names an id
-space that exactly one entry instance owns at a time, so a number can never
-be run by two of them.
+:mod:`cornelgap.wire.caller_codec` encodes and decodes them.  Payloads are
+opaque.
+
+A request id is the triple (flow, epoch, number).  The epoch identifies an id
+space, which exactly one entry instance owns at a time; that instance is the
+home of the flow.  So two entry instances never run the same number.
+
+A token proves that an entry instance opened the flow and names its home, see
+:mod:`cornelgap.core.token`.  Messages to callers carry a token if the caller
+should use a new one from now on.
 """
 
 from dataclasses import dataclass, field
@@ -12,14 +18,14 @@
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM = 1400
-"""Largest datagram in bytes; it fits an Ethernet frame with room to spare."""
+"""Largest datagram in bytes; fits into an Ethernet frame with headers."""
 
 CHUNK_BYTES = 1100
 """Largest payload of one chunk or event in bytes."""
 
 MIN_OPEN = 360
-"""Smallest OPEN in bytes: an OPENED is never larger, so that a forged
-sender address gains an attacker nothing."""
+"""Smallest OPEN in bytes.  An OPENED is never larger, so an attacker who
+forges the sender address cannot amplify traffic."""
 
 FLOW_BYTES = 16
 """Length of a flow id."""
@@ -27,7 +33,11 @@
 
 @dataclass(slots=True)
 class Open:
-    """Ask for a flow of a service; stores nothing at the entry instance."""
+    """Ask for a new flow; the entry instance stores no state for it yet.
+
+    :param nonce: chosen by the caller, repeated in the answer.
+    :param size: size of the encoded datagram in bytes.
+    """
 
     service: str
     nonce: int
@@ -36,7 +46,14 @@
 
 @dataclass(slots=True)
 class Request:
-    """Run a request once (or at least once if idempotent)."""
+    """Run a request at most once, or at least once if it is idempotent.
+
+    :param number: request number in the id space, from 1.
+    :param deadline_ms: time left when the datagram was sent.
+    :param long_job: whether it takes long, such as a download; short
+        requests overtake it in the queue.
+    :param credit: number of chunks that the caller can buffer.
+    """
 
     service: str
     token: bytes
@@ -50,7 +67,11 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Follow a feed from a position on; the payload is its topic."""
+    """Follow a feed, starting at a position.
+
+    :param payload: topic of the feed.
+    :param credit: number of events that the caller can buffer.
+    """
 
     service: str
     token: bytes
@@ -62,7 +83,13 @@
 
 @dataclass(slots=True)
 class Ack:
-    """Chunks before ``position`` have come; ``missing`` ones after have not."""
+    """Acknowledge chunks of an answer or events of a feed.
+
+    :param position: all positions before this one were received.
+    :param missing: positions from ``position`` on that were not received.
+    :param credit: number of positions from ``position`` on that the caller
+        can buffer.
+    """
 
     service: str
     token: bytes
@@ -74,7 +101,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """The caller no longer wants an answer or a feed."""
+    """Cancel a request or end a feed."""
 
     service: str
     token: bytes
@@ -83,7 +110,7 @@
 
 @dataclass(slots=True)
 class OutcomeQuery:
-    """Ask what became of a request id."""
+    """Ask for the outcome of a request id."""
 
     service: str
     token: bytes
@@ -92,7 +119,7 @@
 
 @dataclass(slots=True)
 class Close:
-    """The caller has done with the flow."""
+    """Close the flow."""
 
     service: str
     token: bytes
@@ -100,7 +127,10 @@
 
 @dataclass(slots=True)
 class Opened:
-    """A flow with its token."""
+    """Answer to :class:`Open`: the new flow with its token.
+
+    :param nonce: the one of the :class:`Open`.
+    """
 
     service: str
     nonce: int
@@ -111,7 +141,11 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """One piece of an answer; whole when all up to ``last`` are there."""
+    """One part of an answer.
+
+    The answer is complete when all positions up to the chunk with ``last``
+    were received.
+    """
 
     flow: bytes
     epoch: int
@@ -124,7 +158,7 @@
 
 @dataclass(slots=True)
 class Event:
-    """One piece of a feed, at its position in the feed."""
+    """One event of a feed, with its position in the feed."""
 
     flow: bytes
     epoch: int
@@ -136,7 +170,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """The final verdict about a request id."""
+    """The final verdict on a request id."""
 
     flow: bytes
     epoch: int
@@ -147,9 +181,9 @@
 
 @dataclass(slots=True)
 class Progress:
-    """The request is known and not ended; ask again after a while.
+    """The request is known and has not ended; ask again later.
 
-    For a feed: it lives and has nothing new before ``position``.
+    For a feed: it is active and has no new event before ``position``.
     """
 
     flow: bytes
@@ -162,11 +196,12 @@
 
 @dataclass(slots=True)
 class Moved:
-    """The flow goes on with another token.
+    """The flow continues under another token.
 
-    If ``epoch`` equals ``old_epoch`` all ids stay valid.  Otherwise the old
-    id space has ended with its owner: requests that are not idempotent and
-    have no verdict yet may have run, feeds resume at the caller's position.
+    If ``epoch`` equals ``old_epoch``, all request ids stay valid.  Otherwise
+    the old id space was lost with the entry instance that owned it: requests
+    that are not idempotent and have no verdict yet may have run, and feeds
+    resume at the caller's position.
     """
 
     service: str
@@ -178,10 +213,15 @@
 
 @dataclass(slots=True)
 class Refused:
-    """A datagram was refused; nothing about any request changes by it.
+    """A datagram was refused; this changes the state of no request.
+
+    For a request the verdict is ``UNKNOWN`` with ``same_id``: an entry
+    instance that refuses a datagram may not own the request id, so the
+    caller may only send the request again under the same id.
 
-    The verdict is ``UNKNOWN`` with ``same_id`` for a request: whoever
-    refuses here does not own its id, so only the same id is safe.
+    :param nonce: the one of a refused :class:`Open`, otherwise 0.
+    :param flow: flow id in the token of the datagram, empty if none.
+    :param number: request number of the datagram, 0 if none.
     """
 
     service: str
