--- a/cornelgap/core/token.py
+++ b/cornelgap/core/token.py
@@ -1,10 +1,12 @@
 """Flow tokens: the route of a flow, authenticated with a keyed hash.
 
 A token lets any entry instance that has the key route any packet of a
-flow without a lookup.  It names the service, the target, the home entry
-with its boot nonce, the flow, its id space and an expiry on the home's
-own clock.  Clocks of two machines are never compared: only the home that
-the token names judges the expiry.
+flow without a lookup.  It names the service, the target, the flow, its id
+space, and the home: the entry instance that owns the flow, with its boot
+nonce.  The expiry is a time on the home's own clock and only the home checks
+it, so that the clocks of two machines are never compared.
+
+A token consists of a fixed header, the three names and a 16-byte tag.
 """
 
 import hmac
@@ -18,21 +20,23 @@
 from cornelgap.core.stamps import Stamp
 
 TAG_BYTES = 16
-_HEAD = struct.Struct('>BQQIII16sBBB')
-_KEY_ID_AT = 0
-_FLOW_AT = 29
+_HEADER = struct.Struct('>BQQIII16sBBB')
+_KEY_ID_OFFSET = 0
+_FLOW_ID_OFFSET = 29
 
 
 @dataclass(slots=True)
 class Token:
-    """What a token says.
+    """The decoded content of a token.
 
-    :param flow: 16 random bytes.
+    :param flow: flow id, 16 random bytes.
     :param epoch: id space of the flow's request numbers.
+    :param service: name of the service that the flow belongs to.
+    :param target: name of the target that the flow is assigned to.
     :param home: name of the entry instance that owns the id space.
     :param boot: nonce of the home's process; a restart changes it.
-    :param target: name of the target that the flow is on.
-    :param revision: configuration revision at the time of minting.
+    :param revision: revision of the configuration in force when the token
+        was made.
     :param expiry: seconds on the home's own clock.
     :param era: era of that configuration.
     """
@@ -49,22 +53,25 @@
 
     @property
     def stamp(self):
-        """Return the place of the configuration that it was minted by."""
+        """Return the stamp of the configuration that it was made with."""
         return Stamp(self.era, self.revision)
 
 
 def make_nonce():
-    """Make a 64-bit random number for a boot, an epoch or an open."""
+    """Make a random 64-bit number for a process, an id space or an OPEN.
+
+    :returns: never 0, which stands for a missing value.
+    """
     return secrets.randbits(64) or 1
 
 
 def make_flow_id():
-    """Make a flow id that nobody can guess."""
+    """Make a flow id that cannot be guessed."""
     return secrets.token_bytes(16)
 
 
 def pick_signing_key(keys):
-    """Pick the key that signs new tokens, or None if there is none.
+    """Return the key that signs new tokens, or None if there is none.
 
     :param keys: :class:`~cornelgap.core.settings.KeyCfg` by key id.
     """
@@ -73,7 +80,7 @@
 
 
 def sign_bytes(key, body):
-    """Compute the keyed hash of a body.
+    """Compute the tag of a body: its keyed hash.
 
     :returns: 16 bytes.
     """
@@ -81,7 +88,7 @@
 
 
 def check_bytes(key, body, tag):
-    """Say whether a tag belongs to a body, in constant time."""
+    """Return whether a tag is valid for a body; runs in constant time."""
     return hmac.compare_digest(sign_bytes(key, body), tag)
 
 
@@ -89,13 +96,13 @@
     """Encode and sign a token.
 
     :param key: the signing :class:`~cornelgap.core.settings.KeyCfg`.
-    :returns: bytes that only holders of the key can make.
+    :returns: bytes that only a holder of the key can produce.
     """
     service = token.service.encode()
     target = token.target.encode()
     home = token.home.encode()
     body = (
-        _HEAD.pack(
+        _HEADER.pack(
             key.key_id,
             token.epoch,
             token.boot,
@@ -115,51 +122,52 @@
 
 
 def verify_token(keys, data):
-    """Check a token's keyed hash and decode it.
+    """Check a token's tag and decode it.
 
-    The expiry is not judged here, see the module's comment.
+    The expiry is not checked here; only the home of the flow can do so.
 
-    :param keys: key ring, all stages verify.
-    :raises CodedError: ``PKT_KEY_UNKNOWN`` if this instance lacks the key,
-        which after a rotation means that it is behind, not that the token
-        is bad; ``PKT_TOKEN_FORGED`` for anything else.
+    :param keys: key ring; keys of every stage verify tokens.
+    :raises CodedError: ``PKT_KEY_UNKNOWN`` if this instance lacks the key.
+        After a key rotation this means that its configuration is outdated,
+        not that the token is bad.  ``PKT_TOKEN_FORGED`` for all other
+        faults.
     """
-    if len(data) < _HEAD.size + TAG_BYTES:
-        raise CodedError(Code.PKT_TOKEN_FORGED, 'token too short', 'token')
-    key = keys.get(data[_KEY_ID_AT])
+    if len(data) < _HEADER.size + TAG_BYTES:
+        raise CodedError(Code.PKT_TOKEN_FORGED, 'token is too short', 'token')
+    key = keys.get(data[_KEY_ID_OFFSET])
     if key is None:
-        raise CodedError(Code.PKT_KEY_UNKNOWN, 'key not known here', 'token')
+        raise CodedError(Code.PKT_KEY_UNKNOWN, 'key is not known', 'token')
     body = data[:-TAG_BYTES]
     if not check_bytes(key, body, data[-TAG_BYTES:]):
-        raise CodedError(Code.PKT_TOKEN_FORGED, 'keyed hash differs', 'token')
+        raise CodedError(Code.PKT_TOKEN_FORGED, 'tag is not valid', 'token')
     return _decode_body(body)
 
 
 def peek_flow(data):
-    """Read the flow id of a token that need not be genuine.
+    """Read the flow id of a token without verifying the token.
 
-    A refusal repeats it, so that only whoever knows the flow id can make a
-    caller believe a refusal.
+    A refusal repeats the flow id, so that a caller accepts refusals only
+    from senders that know it.
 
-    :returns: 16 bytes, or none if the token is too short.
+    :returns: 16 bytes, or an empty value if the token is too short.
     """
-    if len(data) < _HEAD.size:
+    if len(data) < _HEADER.size:
         return b''
-    return data[_FLOW_AT : _FLOW_AT + 16]
+    return data[_FLOW_ID_OFFSET : _FLOW_ID_OFFSET + 16]
 
 
 def _decode_body(body):
-    head = _HEAD.unpack_from(body)
-    _, epoch, boot, revision, era, expiry, flow, *lengths = head
-    first = _HEAD.size
-    second = first + lengths[0]
-    third = second + lengths[1]
+    header = _HEADER.unpack_from(body)
+    _, epoch, boot, revision, era, expiry, flow, *lengths = header
+    service_start = _HEADER.size
+    target_start = service_start + lengths[0]
+    home_start = target_start + lengths[1]
     return Token(
         flow=flow,
         epoch=epoch,
-        service=body[first:second].decode(),
-        target=body[second:third].decode(),
-        home=body[third:].decode(),
+        service=body[service_start:target_start].decode(),
+        target=body[target_start:home_start].decode(),
+        home=body[home_start:].decode(),
         boot=boot,
         revision=revision,
         expiry=expiry,
