--- a/cornelgap/core/verdicts.py
+++ b/cornelgap/core/verdicts.py
@@ -1,8 +1,10 @@
-"""What a caller may conclude about a request, in one type used everywhere.
+"""Verdicts: what a caller may conclude about a request.
 
-A refusal is only useful if it is true.  Every place that ends a request
-builds a :class:`Verdict`, so that "was it run?", "may I send the same id
-again?" and "when may I come back?" are always answered together.
+Every place that ends or refuses a request builds a :class:`Verdict`, so that
+three questions are always answered together: has the request run, may the
+same request id be sent again, and how long should the caller wait before it
+retries.  A verdict must be true: a caller that is told "not run" sends the
+request again under a new id.
 """
 
 import enum
@@ -10,31 +12,31 @@
 
 
 class Ran(enum.IntEnum):
-    """Whether the request has run, as far as the speaker can know."""
+    """Whether the request has run, as far as the sender can know."""
 
     UNKNOWN = 0
-    """The speaker cannot tell; only the same id may be sent again."""
+    """The sender cannot tell; only the same id may be sent again."""
 
     NOT_RUN = 1
     """It did not run and never will under this id."""
 
     MAY_HAVE_RUN = 2
-    """It may or may not have run; a new id could run it twice."""
+    """It may or may not have run; under a new id it could run twice."""
 
     DONE = 3
-    """It ran to its end."""
+    """It ran to completion."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
     """The final answer about one request id.
 
-    :param ran: what the caller may conclude.
+    :param ran: whether the request has run.
     :param code: error code from :mod:`cornelgap.core.errors`, empty if done.
     :param same_id: whether the same id may be sent again.
-    :param retry_after_ms: earliest useful time to come back, in
-        milliseconds from now; 0 means at once.
-    :param text: one short sentence for a person.
+    :param retry_after_ms: milliseconds from now before which a retry is
+        useless; 0 means that the caller may retry at once.
+    :param text: explanation for people in one short sentence.
     """
 
     ran: Ran
@@ -45,14 +47,14 @@
 
 
 def refuse_not_run(code, retry_after_ms=0, text=''):
-    """Build the verdict of a request that did not and will not run."""
+    """Build the verdict on a request that did not run and never will."""
     return Verdict(
         ran=Ran.NOT_RUN, code=code, retry_after_ms=retry_after_ms, text=text
     )
 
 
 def report_doubt(code, retry_after_ms=0, text=''):
-    """Build the verdict of a request that may have run."""
+    """Build the verdict on a request that may have run."""
     return Verdict(
         ran=Ran.MAY_HAVE_RUN,
         code=code,
@@ -62,7 +64,10 @@
 
 
 def ask_same_id(code, retry_after_ms=0, text=''):
-    """Build the verdict of a speaker who cannot know; the id stays usable."""
+    """Build the verdict of a sender that cannot know whether it has run.
+
+    The caller may send the same request id again.
+    """
     return Verdict(
         ran=Ran.UNKNOWN,
         code=code,
@@ -73,5 +78,5 @@
 
 
 def confirm_done():
-    """Build the verdict of a request that ran to its end."""
+    """Build the verdict on a request that ran to completion."""
     return Verdict(ran=Ran.DONE)
