--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -1,7 +1,7 @@
 """Codec of the callers' protocol: typed messages to datagrams and back.
 
-Decoding checks every field that the message kind needs, so that a bad
-datagram ends here with a coded error and never inside the engine.
+Decoding checks every field that a kind of message needs, so that a bad
+datagram is rejected here with a coded error and never reaches the engine.
 """
 
 from google.protobuf.message import DecodeError
@@ -12,50 +12,59 @@
 from cornelgap.wire import caller_pb2 as pb
 
 MAX_MISSING = 64
-"""Most positions that one ACK may name."""
+"""Most missing positions that one ACK may list."""
 
 MAX_CREDIT = 256
-"""Most chunks that a caller may ask for ahead of its position."""
+"""Most chunks or events that may be in flight to a caller beyond the position
+that it has acknowledged; a larger credit is reduced to this."""
 
 
 def decode_datagram(data):
-    """Decode one datagram of either direction.
+    """Decode a datagram from or to a caller.
 
     :param data: bytes as received.
     :returns: a message of :mod:`cornelgap.core.messages`.
-    :raises CodedError: with a ``PKT`` code that names the field.
+    :raises CodedError: with a ``PKT`` code; ``place`` names the field.
     """
     return decode_raw(parse_datagram(data), len(data))
 
 
 def parse_datagram(data):
-    """Parse one datagram without looking at the fields of its kind.
+    """Parse a datagram without checking the fields of its kind.
 
-    Enough to route it: most datagrams reach an instance that only relays
-    them, and typing their fields was a sixth of the relay's cost.
+    This suffices to route it.  Most datagrams reach an instance that only
+    relays them; building the typed message took a sixth of the cost of a
+    relay.
 
-    :returns: raw ``Datagram`` of a known version and kind.
+    :returns: protobuf ``Datagram`` of a known version and kind.
     :raises CodedError: with a ``PKT`` code.
     """
     if len(data) > msg.MAX_DATAGRAM:
-        raise CodedError(Code.PKT_OVERSIZED, f'{len(data)} bytes')
+        raise CodedError(
+            Code.PKT_OVERSIZED, f'datagram is too large: {len(data)} bytes'
+        )
     raw = pb.Datagram()
     try:
         raw.ParseFromString(data)
     except DecodeError as exc:
-        raise CodedError(Code.PKT_TRUNCATED, 'cannot be decoded') from exc
+        raise CodedError(
+            Code.PKT_TRUNCATED, 'datagram cannot be decoded'
+        ) from exc
     if raw.version != msg.PROTOCOL_VERSION:
-        raise CodedError(Code.PKT_VERSION, f'version {raw.version}', 'version')
+        raise CodedError(
+            Code.PKT_VERSION, f'unsupported version {raw.version}', 'version'
+        )
     if raw.kind not in _DECODERS:
-        raise CodedError(Code.PKT_FIELD, f'kind {raw.kind}', 'kind')
+        raise CodedError(Code.PKT_FIELD, f'unknown kind {raw.kind}', 'kind')
     return raw
 
 
 def decode_raw(raw, size):
-    """Check the fields of a parsed datagram and give its typed message.
+    """Check the fields of a parsed datagram and build its typed message.
 
-    :param size: bytes that it had.
-    :raises CodedError: with a ``PKT`` code that names the field.
+    :param raw: result of :func:`parse_datagram`.
+    :param size: size of the datagram in bytes.
+    :raises CodedError: with a ``PKT`` code; ``place`` names the field.
     """
     return _DECODERS[raw.kind](raw, size)
 
@@ -199,23 +208,26 @@
     )
 
 
-def _build_raw(kind, **fields):
+def _serialize_datagram(kind, **fields):
     return pb.Datagram(
         version=msg.PROTOCOL_VERSION, kind=kind, **fields
     ).SerializeToString()
 
 
 def _encode_open(message):
-    bare = _build_raw(pb.OPEN, service=message.service, nonce=message.nonce)
-    # The padding field costs up to four bytes of tag and length.
-    padding = bytes(max(0, message.size - len(bare)))
-    return _build_raw(
+    unpadded = _serialize_datagram(
+        pb.OPEN, service=message.service, nonce=message.nonce
+    )
+    # The tag and length of the padding field add up to four bytes, so the
+    # datagram may exceed the requested size by that much.
+    padding = bytes(max(0, message.size - len(unpadded)))
+    return _serialize_datagram(
         pb.OPEN, service=message.service, nonce=message.nonce, padding=padding
     )
 
 
 def _encode_request(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.REQUEST,
         service=message.service,
         token=message.token,
@@ -229,7 +241,7 @@
 
 
 def _encode_subscribe(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.SUBSCRIBE,
         service=message.service,
         token=message.token,
@@ -241,7 +253,7 @@
 
 
 def _encode_ack(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.ACK,
         service=message.service,
         token=message.token,
@@ -253,7 +265,7 @@
 
 
 def _encode_cancel(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.CANCEL,
         service=message.service,
         token=message.token,
@@ -262,7 +274,7 @@
 
 
 def _encode_outcome(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.OUTCOME,
         service=message.service,
         token=message.token,
@@ -271,11 +283,13 @@
 
 
 def _encode_close(message):
-    return _build_raw(pb.CLOSE, service=message.service, token=message.token)
+    return _serialize_datagram(
+        pb.CLOSE, service=message.service, token=message.token
+    )
 
 
 def _encode_opened(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.OPENED,
         service=message.service,
         nonce=message.nonce,
@@ -286,7 +300,7 @@
 
 
 def _encode_chunk(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.CHUNK,
         flow=message.flow,
         epoch=message.epoch,
@@ -299,7 +313,7 @@
 
 
 def _encode_event(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.EVENT,
         flow=message.flow,
         epoch=message.epoch,
@@ -310,7 +324,7 @@
     )
 
 
-def _spread_verdict(verdict):
+def _list_verdict_fields(verdict):
     return {
         'ran': verdict.ran,
         'code': verdict.code,
@@ -321,18 +335,18 @@
 
 
 def _encode_report(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.VERDICT,
         flow=message.flow,
         epoch=message.epoch,
         number=message.number,
         token=message.token,
-        **_spread_verdict(message.verdict),
+        **_list_verdict_fields(message.verdict),
     )
 
 
 def _encode_progress(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.PROGRESS,
         flow=message.flow,
         epoch=message.epoch,
@@ -344,7 +358,7 @@
 
 
 def _encode_moved(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.MOVED,
         service=message.service,
         flow=message.flow,
@@ -355,13 +369,13 @@
 
 
 def _encode_refused(message):
-    return _build_raw(
+    return _serialize_datagram(
         pb.REFUSED,
         service=message.service,
         nonce=message.nonce,
         flow=message.flow,
         number=message.number,
-        **_spread_verdict(message.verdict),
+        **_list_verdict_fields(message.verdict),
     )
 
 
