--- a/cornelgap/wire/peer_codec.py
+++ b/cornelgap/wire/peer_codec.py
@@ -1,8 +1,10 @@
-"""Codec of datagrams between entry instances, sealed with the key ring.
+"""Codec of datagrams between entry instances, signed with the key ring.
 
-A relayed datagram says which address a caller has.  Without the seal
-anybody who reaches the peer socket could make an entry instance answer to
-an address of their choice.
+A relayed datagram states the address of its caller.  Without the signature,
+anyone who can send to the peer socket could make an entry instance send
+answers to any address.
+
+To seal means to sign here: the content is authenticated, not encrypted.
 """
 
 from google.protobuf.message import DecodeError
@@ -17,7 +19,7 @@
 
     :param keys: key ring by key id.
     :param datagram: :class:`~cornelgap.wire.peer_pb2.PeerDatagram`.
-    :returns: bytes, or None if no key signs yet.
+    :returns: bytes, or None if there is no signing key yet.
     """
     key = pick_signing_key(keys)
     if key is None:
@@ -29,17 +31,23 @@
 
 
 def unseal_datagram(keys, data):
-    """Check and decode a peer datagram.
+    """Verify and decode a peer datagram.
 
-    :raises CodedError: ``NET_FORGED`` or ``PKT_KEY_UNKNOWN``.
+    :raises CodedError: ``NET_FORGED`` if the signature is not valid or the
+        envelope cannot be decoded, ``PKT_KEY_UNKNOWN`` if this instance
+        lacks the key.
     """
     try:
         sealed = pb.Sealed.FromString(data)
     except DecodeError as exc:
-        raise CodedError(Code.NET_FORGED, 'cannot be decoded') from exc
+        raise CodedError(
+            Code.NET_FORGED, 'peer datagram cannot be decoded'
+        ) from exc
     key = keys.get(sealed.key_id)
     if key is None:
-        raise CodedError(Code.PKT_KEY_UNKNOWN, f'key {sealed.key_id}')
+        raise CodedError(
+            Code.PKT_KEY_UNKNOWN, f'key {sealed.key_id} is not known'
+        )
     if not check_bytes(key, sealed.body, sealed.tag):
-        raise CodedError(Code.NET_FORGED, 'keyed hash differs')
+        raise CodedError(Code.NET_FORGED, 'signature is not valid')
     return pb.PeerDatagram.FromString(sealed.body)
