--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -41,7 +41,7 @@
     """
     if len(data) > msg.MAX_DATAGRAM:
         raise CodedError(
-            Code.PKT_OVERSIZED, f'datagram is too large: {len(data)} bytes'
+            Code.PKT_OVERSIZED, f'{len(data)} bytes exceed the datagram limit'
         )
     raw = pb.Datagram()
     try:
--- a/cornelgap/wire/peer_codec.py
+++ b/cornelgap/wire/peer_codec.py
@@ -45,9 +45,7 @@
         ) from exc
     key = keys.get(sealed.key_id)
     if key is None:
-        raise CodedError(
-            Code.PKT_KEY_UNKNOWN, f'key {sealed.key_id} is not known'
-        )
+        raise CodedError(Code.PKT_KEY_UNKNOWN, f'unknown key {sealed.key_id}')
     if not check_bytes(key, sealed.body, sealed.tag):
         raise CodedError(Code.NET_FORGED, 'signature is not valid')
     return pb.PeerDatagram.FromString(sealed.body)
