--- a/cornelgap/core/messages.py
+++ b/cornelgap/core/messages.py
@@ -18,7 +18,8 @@
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM = 1400
-"""Largest datagram in bytes; fits into an Ethernet frame with headers."""
+"""Largest datagram in bytes; it fits into an Ethernet frame with its headers
+and leaves room to spare."""
 
 CHUNK_BYTES = 1100
 """Largest payload of one chunk or event in bytes."""
