--- a/cornelgap/kernel/credentials.py
+++ b/cornelgap/kernel/credentials.py
@@ -1,8 +1,9 @@
-"""TLS for every gRPC channel and server, from one section of settings.
+"""TLS credentials for gRPC channels and servers, from section ``[tls]``.
 
-Mutual TLS is the rule: whoever reaches the administration API or the
-platform without it can stop entry instances or read token keys.  It is off
-only where a setting says so, and then each start says it in the log.
+Mutual TLS is the normal mode: without it, anyone who can connect to the
+administration API or the platform could stop entry instances or read token
+keys.  Only an explicit ``mode = off`` disables it, and each process that
+runs without it logs a warning.
 """
 
 import functools
@@ -16,7 +17,7 @@
 
 MUTUAL = 'mutual'
 OFF = 'off'
-_FILES = ('ca', 'cert', 'key')
+_FILE_OPTIONS = ('ca', 'cert', 'key')
 
 _log = logging.getLogger('cornelgap.tls')
 
@@ -25,12 +26,12 @@
 class TlsSettings:
     """Section ``[tls]`` of a process's settings.
 
-    :param mode: ``mutual``, or ``off`` by explicit choice.
-    :param ca: file of the authority that signs both sides, PEM.
-    :param cert: file of this process's certificate, PEM.
-    :param key: file of its private key, PEM.
-    :param server_name: name that servers' certificates bear instead of
-        their addresses, which change with each replaced instance.
+    :param mode: ``mutual`` or ``off``.
+    :param ca: PEM file with the certificate authority of both sides.
+    :param cert: PEM file with this process's certificate.
+    :param key: PEM file with this process's private key.
+    :param server_name: name to expect in server certificates in place of
+        the address, which changes whenever an instance is replaced.
     """
 
     mode: str
@@ -41,9 +42,9 @@
 
     @classmethod
     def from_options(cls, options):
-        """Build from the options of the section.
+        """Validate the options of the section and build the settings.
 
-        :param options: option texts by name; ``mode`` must be among them.
+        :param options: dict of option values by name; ``mode`` is required.
         :raises CodedError: ``CFG_MISSING_OPTION``, ``CFG_UNKNOWN_OPTION``
             or ``CFG_BAD_VALUE``.
         """
@@ -59,49 +60,51 @@
                 'expected mutual or off',
                 '[tls] mode',
             )
-        for name in _FILES:
+        for name in _FILE_OPTIONS:
             if mode == MUTUAL and not options.get(name):
                 raise CodedError(
-                    Code.CFG_MISSING_OPTION, 'expected a file', f'[tls] {name}'
+                    Code.CFG_MISSING_OPTION,
+                    'expected the path of a file',
+                    f'[tls] {name}',
                 )
         return cls(**options)
 
 
 def load_channel(tls):
-    """Load credentials for channels.
+    """Load the credentials of a client channel.
 
     :param tls: :class:`TlsSettings`.
     :return: gRPC channel credentials, or None if TLS is off.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
-    if _is_off(tls):
+    if _is_tls_off(tls):
         return None
     return grpc.ssl_channel_credentials(
-        root_certificates=_read(tls.ca, 'ca'),
-        private_key=_read(tls.key, 'key'),
-        certificate_chain=_read(tls.cert, 'cert'),
+        root_certificates=_read_file(tls.ca, 'ca'),
+        private_key=_read_file(tls.key, 'key'),
+        certificate_chain=_read_file(tls.cert, 'cert'),
     )
 
 
 def load_server(tls):
-    """Load credentials for servers, which require a client's certificate.
+    """Load the credentials of a server that requires client certificates.
 
     :param tls: :class:`TlsSettings`.
     :return: gRPC server credentials, or None if TLS is off.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
-    if _is_off(tls):
+    if _is_tls_off(tls):
         return None
-    pair = (_read(tls.key, 'key'), _read(tls.cert, 'cert'))
+    pair = (_read_file(tls.key, 'key'), _read_file(tls.cert, 'cert'))
     return grpc.ssl_server_credentials(
         [pair],
-        root_certificates=_read(tls.ca, 'ca'),
+        root_certificates=_read_file(tls.ca, 'ca'),
         require_client_auth=True,
     )
 
 
 def list_options(tls):
-    """List the channel options that belong to the settings.
+    """List the gRPC channel options that the TLS settings imply.
 
     :param tls: :class:`TlsSettings`.
     """
@@ -111,11 +114,11 @@
 
 
 def open_channel(address, tls, options=()):
-    """Open a channel as the settings say.
+    """Open a channel, with or without TLS as the settings require.
 
     :param address: ``host:port``.
     :param tls: :class:`TlsSettings`.
-    :param options: further gRPC channel options.
+    :param options: additional gRPC channel options.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
     credentials = load_channel(tls)
@@ -127,12 +130,12 @@
 
 
 def add_port(server, address, tls):
-    """Add a port to a server as the settings say.
+    """Add a port to a server, with or without TLS as the settings require.
 
-    :param server: gRPC server, not started yet.
-    :param address: ``host:port``; port 0 is chosen by the kernel.
+    :param server: gRPC server that has not been started yet.
+    :param address: ``host:port``; for port 0 the operating system chooses.
     :param tls: :class:`TlsSettings`.
-    :return: the port.
+    :return: the port number in use.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
     credentials = load_server(tls)
@@ -141,7 +144,7 @@
     return server.add_secure_port(address, credentials)
 
 
-def _is_off(tls):
+def _is_tls_off(tls):
     if tls.mode == OFF:
         _warn_off()
     return tls.mode == OFF
@@ -149,11 +152,11 @@
 
 @functools.cache
 def _warn_off():
-    """Warn once a process, not at each of many channels."""
-    _log.warning('tls: off by setting; peers are not authenticated')
+    """Log the warning once per process instead of once per channel."""
+    _log.warning('tls: disabled by settings; peers are not authenticated')
 
 
-def _read(path, option):
+def _read_file(path, option):
     try:
         return Path(path).read_bytes()
     except OSError as exc:
