--- a/cornelgap/kernel/inbox.py
+++ b/cornelgap/kernel/inbox.py
@@ -1,9 +1,10 @@
-"""An actor's inbox that also waits on the actor's own sockets.
+"""An actor inbox that multiplexes messages, sockets and a periodic tick.
 
-A plain inbox would need a thread for each socket that tells the actor of
-every packet; one ``tell`` costs about as much as handling a packet.  Here
-the actor's one thread sleeps until a message comes or a socket can be
-read, so the actor owns its sockets and handles a packet in one turn.
+With the inbox of pykka, each socket would need a thread that forwards every
+packet to the actor by ``tell``, and one ``tell`` costs about as much as
+handling a packet.  With this inbox, the actor's single thread blocks in a
+selector until a message arrives or a socket becomes readable.  The actor
+then reads its sockets itself and handles a packet in one ``on_receive`` call.
 """
 
 import queue
@@ -17,31 +18,32 @@
 
 
 class Readable(Struct, frozen=True):
-    """Message to the actor: this socket has datagrams to read."""
+    """Message to the actor: a socket has datagrams to read."""
 
     sock: socket.socket
 
 
 class Tick(Struct, frozen=True):
-    """Message to the actor: its time slice is over."""
+    """Message to the actor: the tick interval has elapsed."""
 
 
 class SocketInbox:
     """Inbox for :class:`pykka.ThreadingActor` with sockets and a tick.
 
-    ``put`` may be called by any thread; everything else belongs to the
+    :meth:`put` is thread-safe; all other methods must be called from the
     actor's own thread.
 
+    :param clock: function that returns the time in seconds.
     :param tick_s: seconds between two ticks; None for no ticks.
     """
 
     def __init__(self, clock, tick_s=None):
-        """Open the wake-up pair; sockets are added later."""
+        """Create the socket pair that wakes the actor's thread."""
         self._clock = clock
         self._tick_s = tick_s
         self._next_tick = clock()
         self._queue = queue.SimpleQueue()
-        self._ready = []
+        self._readable = []
         self._selector = selectors.DefaultSelector()
         self._wake_read, self._wake_write = socket.socketpair()
         self._wake_read.setblocking(False)
@@ -49,40 +51,41 @@
         self._selector.register(self._wake_read, selectors.EVENT_READ)
 
     def add_socket(self, sock):
-        """Wait on a socket as well."""
+        """Also deliver :class:`Readable` for a socket."""
         self._selector.register(sock, selectors.EVENT_READ)
 
     def put(self, envelope):
-        """Put a message; wakes the actor if it sleeps."""
+        """Add a message and wake the actor's thread if it is waiting."""
         self._queue.put(envelope)
         try:
             self._wake_write.send(WAKE_BYTE)
         except (BlockingIOError, OSError):
-            # The pair is full of wake-ups, or closed after the stop.
+            # The socket pair is full of unread wake-ups, or closed because
+            # the actor has stopped.
             return
 
     def get(self):
-        """Give the next message, readable socket or tick.
+        """Return the next message, readable socket or tick; may block.
 
-        Messages, sockets and ticks take turns, so that a flood of packets
-        cannot keep an administrator's message waiting, nor the reverse.
+        Messages, sockets and ticks alternate, so that a flood of packets
+        cannot delay an administrator's message, nor the reverse.
         """
         while True:
             if self._is_tick_due():
                 self._next_tick = self._clock() + self._tick_s
                 return Envelope(Tick())
-            if self._ready:
-                return Envelope(Readable(self._ready.pop()))
-            self._wait()
+            if self._readable:
+                return Envelope(Readable(self._readable.pop()))
+            self._poll_sockets()
             if not self._queue.empty():
                 return self._queue.get()
 
     def empty(self):
-        """Say whether no message waits."""
+        """Return whether no message is queued."""
         return self._queue.empty()
 
     def close(self):
-        """Close the wake-up pair and the selector."""
+        """Close the selector and the socket pair."""
         self._selector.close()
         self._wake_read.close()
         self._wake_write.close()
@@ -90,7 +93,7 @@
     def _is_tick_due(self):
         return self._tick_s is not None and self._clock() >= self._next_tick
 
-    def _wait(self):
+    def _poll_sockets(self):
         timeout = None
         if not self._queue.empty():
             timeout = 0
@@ -98,11 +101,11 @@
             timeout = max(0, self._next_tick - self._clock())
         for key, _ in self._selector.select(timeout):
             if key.fileobj is self._wake_read:
-                self._drain_wake()
+                self._discard_wakeups()
             else:
-                self._ready.append(key.fileobj)
+                self._readable.append(key.fileobj)
 
-    def _drain_wake(self):
+    def _discard_wakeups(self):
         try:
             self._wake_read.recv(4096)
         except BlockingIOError:
