--- a/cornelgap/kernel/logs.py
+++ b/cornelgap/kernel/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line, a fixed prefix for each part.
+"""Structured logging: one JSON object per line.
 
-A part logs through ``logging.getLogger('cornelgap.PART')`` with messages
-that begin with ``PART: `` and do not change; what varies goes into
-``extra``.  So equal messages are recognised, and repeats are limited.
+Each part of the program logs through ``logging.getLogger('cornelgap.PART')``
+with constant messages that begin with ``PART: ``; variable data goes into
+``extra``.  Constant messages let the filters recognise and limit repeats.
 """
 
 import logging
@@ -35,71 +35,77 @@
 )
 LEVELS = ('debug', 'info', 'warning', 'error')
 
-REPEAT_COUNT = 5
-REPEAT_S = 10.0
-"""Equal messages let through in this many seconds.  A platform that is down
-or a peer that sends rubbish would otherwise write thousands of lines a
-second, and the one line that matters would be lost among them."""
+MAX_REPEATS = 5
+REPEAT_WINDOW_S = 10.0
+"""Seconds in which at most :data:`MAX_REPEATS` equal messages pass.  Without
+this limit an unreachable platform or a peer that sends invalid data would
+cause thousands of lines a second, and the relevant line would be lost among
+them."""
 
-MAX_MESSAGES = 500
+MAX_TRACKED_MESSAGES = 500
+"""Distinct messages tracked; the least recently logged is dropped first."""
 
-_FIELDS = '%(asctime)s %(levelname)s %(name)s %(message)s'
-_NAMES = {'asctime': 'time', 'levelname': 'level', 'name': 'part'}
+_LINE_FORMAT = '%(asctime)s %(levelname)s %(name)s %(message)s'
+_FIELD_NAMES = {'asctime': 'time', 'levelname': 'level', 'name': 'part'}
 
 
 class RepeatFilter(logging.Filter):
-    """Lets through a few equal messages, then counts them silently.
+    """Limits how often equal messages pass in a time window.
 
-    The next one that passes says in ``suppressed`` how many did not.
+    Suppressed records are counted, and the next equal record that passes
+    carries the count in ``suppressed``.
 
-    :param now: clock in seconds.
+    :param now: function that returns the time in seconds.
     """
 
     def __init__(self, now=time.monotonic):
-        """Know no message yet."""
+        """Start without any tracked message."""
         super().__init__()
         self._now = now
-        self._seen = OrderedDict()
+        self._windows = OrderedDict()
 
     def filter(self, record):
         """Say whether a record passes."""
         key = (record.name, record.levelno, str(record.msg))
         now = self._now()
-        began, count = self._seen.pop(key, (now, 0))
-        if now - began >= REPEAT_S:
-            if count > REPEAT_COUNT:
-                record.suppressed = count - REPEAT_COUNT
-            began, count = now, 0
-        self._seen[key] = (began, count + 1)
-        if len(self._seen) > MAX_MESSAGES:
-            self._seen.popitem(last=False)
-        return count < REPEAT_COUNT
+        window_start, count = self._windows.pop(key, (now, 0))
+        if now - window_start >= REPEAT_WINDOW_S:
+            if count > MAX_REPEATS:
+                record.suppressed = count - MAX_REPEATS
+            window_start, count = now, 0
+        self._windows[key] = (window_start, count + 1)
+        if len(self._windows) > MAX_TRACKED_MESSAGES:
+            self._windows.popitem(last=False)
+        return count < MAX_REPEATS
 
 
 class RateFilter(logging.Filter):
-    """Lets through a number of lines a second, then counts them silently.
+    """Limits the number of lines per second, whatever their messages.
 
-    For a process whose every abnormal decision has a line of its own: a
-    disturbance of thousands of flows must not fill the log collector.
+    Meant for a process that logs a separate line for each abnormal decision:
+    a fault that affects thousands of flows must not overload the log
+    collector.  Suppressed records are counted, and the next record that
+    passes carries the count in ``suppressed``.
 
-    :param per_s: lines a second; warnings and errors may take twice that.
-    :param now: clock in seconds.
+    :param per_s: lines per second; for warnings and errors the limit is
+        twice as high.
+    :param now: function that returns the time in seconds.
     """
 
     def __init__(self, per_s, now=time.monotonic):
-        """Begin a second."""
+        """Start without any counted line."""
         super().__init__()
         self._per_s = per_s
         self._now = now
-        self._second = None
+        self._current_second = None
         self._count = 0
         self._suppressed = 0
 
     def filter(self, record):
         """Say whether a record passes."""
         second = int(self._now())
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._count = 0
         limit = self._per_s
         if record.levelno >= logging.WARNING:
@@ -107,8 +113,8 @@
         if self._count >= limit:
             self._suppressed += 1
             return False
-        # Only lines that pass count: after a storm of information the
-        # warnings would otherwise find their part of the second used up.
+        # Count only the lines that pass.  Otherwise a burst of info lines
+        # would also use up the capacity reserved for warnings.
         self._count += 1
         if self._suppressed:
             record.suppressed = self._suppressed
@@ -117,49 +123,49 @@
 
 
 class LineHandler(logging.Handler):
-    """Writes each record as one line to a descriptor, and never waits.
+    """Writes each record as one line to a file descriptor without blocking.
 
-    A log collector that has stopped reading fills the pipe between it and
-    the process; the next plain write would block the actor that logs, and
-    with it all packets.  A pipe that polls as writable takes PIPE_BUF bytes
-    at once, so a line of that length is written whole or not at all; lines
-    that find no room are counted, and the next one that does says so in
-    ``suppressed``.
+    When a log collector stops reading, the pipe to it fills up; an ordinary
+    write would then block the actor that logs, and with it the handling of
+    all packets.  A pipe that polls as writable accepts PIPE_BUF bytes at
+    once, so a line of up to that length is written whole or not at all.
+    Lines that do not fit are counted, and the next line that is written
+    carries the count in ``suppressed``.
 
-    :param descriptor: number of an open file, pipe or terminal.
+    :param descriptor: descriptor of an open file, pipe or terminal.
     """
 
     def __init__(self, descriptor):
-        """Write to the descriptor, which stays the caller's."""
+        """Use a descriptor, which the caller remains responsible to close."""
         super().__init__()
         self._descriptor = descriptor
-        self._poll = select.poll()
-        self._poll.register(descriptor, select.POLLOUT)
-        self._lost = 0
+        self._poller = select.poll()
+        self._poller.register(descriptor, select.POLLOUT)
+        self._dropped_count = 0
 
     def emit(self, record):
-        """Write one record, or count it as lost."""
-        missing = self._lost + getattr(record, 'suppressed', 0)
-        if missing:
-            record.suppressed = missing
+        """Write one record or count it as dropped."""
+        dropped_count = self._dropped_count + getattr(record, 'suppressed', 0)
+        if dropped_count:
+            record.suppressed = dropped_count
         try:
-            written = self._write(self._make_line(record))
+            written = self._write_line(self._format_line(record))
         except OSError:
-            # The reader has closed its end; there is nobody to tell.
+            # The reader has closed its end of the pipe.
             written = False
-        self._lost = 0 if written else missing + 1
+        self._dropped_count = 0 if written else dropped_count + 1
 
-    def _make_line(self, record):
+    def _format_line(self, record):
         line = f'{self.format(record)}\n'.encode()
         if len(line) <= select.PIPE_BUF:
             return line
-        # Only the traceback can be that long; the message still says what.
+        # Only a traceback makes a line this long; keep the message.
         record.exc_info = None
         record.exc_text = None
         return f'{self.format(record)}\n'.encode()
 
-    def _write(self, line):
-        if len(line) > select.PIPE_BUF or not self._poll.poll(0):
+    def _write_line(self, line):
+        if len(line) > select.PIPE_BUF or not self._poller.poll(0):
             return False
         os.write(self._descriptor, line)
         return True
@@ -168,7 +174,8 @@
 def check_levels(options):
     """Check the section ``[logs]`` of a process's settings.
 
-    :param options: level by part; ``level`` stands for all others.
+    :param options: dict of levels by part; the key ``level`` sets the level
+        of all other parts.
     :returns: list of :class:`CodedError`.
     """
     errors = []
@@ -177,7 +184,7 @@
             errors.append(
                 CodedError(
                     Code.CFG_UNKNOWN_OPTION,
-                    f'known are level, {", ".join(PARTS)}',
+                    f'expected one of level, {", ".join(PARTS)}',
                     f'[logs] {name}',
                 )
             )
@@ -185,7 +192,7 @@
             errors.append(
                 CodedError(
                     Code.CFG_BAD_VALUE,
-                    f'expected {", ".join(LEVELS)}',
+                    f'expected one of {", ".join(LEVELS)}',
                     f'[logs] {name}',
                 )
             )
@@ -195,20 +202,22 @@
 def configure_logs(
     options, instance='', handler=None, now=time.monotonic, limit=None
 ):
-    """Send all logs of the process to a handler.
+    """Send all logs of the process to one handler.
 
     :param options: section ``[logs]``, checked by :func:`check_levels`.
-    :param instance: name that each line bears.
-    :param handler: a :class:`LineHandler` to standard error by default.
-    :param limit: filter that bounds the volume; equal messages are counted
-        by default.
+    :param instance: instance name, written in each line unless empty.
+    :param handler: by default a :class:`LineHandler` for standard error.
+    :param now: function that returns the time in seconds, for the default
+        filter.
+    :param limit: filter that limits the number of lines, by default a
+        :class:`RepeatFilter`.
     :returns: the handler.
     """
     handler = handler or LineHandler(sys.stderr.fileno())
     handler.setFormatter(
         JsonFormatter(
-            _FIELDS,
-            rename_fields=_NAMES,
+            _LINE_FORMAT,
+            rename_fields=_FIELD_NAMES,
             static_fields={'instance': instance} if instance else None,
         )
     )
