--- a/cornelgap/kernel/loops.py
+++ b/cornelgap/kernel/loops.py
@@ -1,10 +1,11 @@
-"""The one thread of a process that runs an asyncio loop.
-
-gRPC's and the metrics library's asynchronous servers and channels need a
-loop.  All of them share this one, because gRPC's completion queue is bound
-to a loop and several loops in one process wake each other for nothing.
-Actors stay outside and talk to it by :meth:`LoopThread.call` and
-:meth:`LoopThread.submit`, neither of which blocks.
+"""A thread that runs an asyncio event loop for the actors of a process.
+
+The asynchronous servers and channels of gRPC and of the metrics library need
+an event loop.  All gRPC objects of a process share one loop, because gRPC's
+completion queue is bound to a loop and several loops in one process wake
+each other needlessly.  Actors run in their own threads and use the loop
+through :meth:`LoopThread.call` and :meth:`LoopThread.submit`, which do not
+block.
 """
 
 import asyncio
@@ -14,40 +15,40 @@
 _LOG = logging.getLogger('cornelgap.loops')
 
 
-class Timer:
-    """Calls a plain function again and again in the loop's thread."""
+class PeriodicTimer:
+    """Calls a plain function periodically in the loop's thread."""
 
-    def __init__(self, loop, seconds, func):
-        """Prepare the timer; :meth:`start` belongs to the loop's thread."""
+    def __init__(self, loop, interval_s, func):
+        """Prepare the timer; call :meth:`start` in the loop's thread."""
         self._loop = loop
-        self._seconds = seconds
+        self._interval_s = interval_s
         self._func = func
         self._handle = None
         self._cancelled = False
 
     def start(self):
-        """Call the function now and after each interval."""
+        """Call the function now and then once per interval."""
         if self._cancelled:
             return
-        self._handle = self._loop.call_later(self._seconds, self.start)
+        self._handle = self._loop.call_later(self._interval_s, self.start)
         try:
             self._func()
         except Exception:
-            # One broken turn must not end all later ones unnoticed.
-            _LOG.exception('loops: timer broke')
+            # A failed call must not silently prevent all later ones.
+            _LOG.exception('loops: periodic function failed')
 
     def cancel(self):
-        """Stop calling; from the loop's thread."""
+        """Stop the timer; call this in the loop's thread."""
         self._cancelled = True
         if self._handle is not None:
             self._handle.cancel()
 
 
 class LoopThread:
-    """A thread that owns an asyncio loop."""
+    """A thread that runs its own asyncio event loop."""
 
     def __init__(self, name='loop'):
-        """Make the loop; nothing runs before :meth:`start`."""
+        """Create the loop, which runs only after :meth:`start`."""
         self.loop = asyncio.new_event_loop()
         self._thread = threading.Thread(
             target=self._run_loop, name=name, daemon=True
@@ -55,19 +56,19 @@
 
     @classmethod
     def start_new(cls, name='loop'):
-        """Make a loop and start its thread."""
-        loops = cls(name)
-        loops.start()
-        return loops
+        """Create a loop and start its thread."""
+        loop_thread = cls(name)
+        loop_thread.start()
+        return loop_thread
 
     def start(self):
         """Start the thread."""
         self._thread.start()
 
     def call(self, func, *args):
-        """Run a plain function in the loop's next turn.
+        """Schedule a plain function in the loop's thread; thread-safe.
 
-        :returns: False if the loop has been stopped.
+        :returns: False if the loop is closed.
         """
         try:
             self.loop.call_soon_threadsafe(func, *args)
@@ -75,13 +76,13 @@
             return False
         return True
 
-    def call_every(self, seconds, func):
-        """Call a plain function again and again, first at once.
+    def call_every(self, interval_s, func):
+        """Call a plain function periodically, the first time immediately.
 
-        :param func: must not block.
-        :returns: a function that ends it, from any thread.
+        :param func: function without parameters; must not block.
+        :returns: a thread-safe function that stops the calls.
         """
-        timer = Timer(self.loop, seconds, func)
+        timer = PeriodicTimer(self.loop, interval_s, func)
         self.call(timer.start)
 
         def cancel():
@@ -90,13 +91,13 @@
         return cancel
 
     def submit(self, coro):
-        """Start a coroutine; its result comes as a concurrent future."""
+        """Schedule a coroutine; returns a :mod:`concurrent.futures` future."""
         return asyncio.run_coroutine_threadsafe(coro, self.loop)
 
     def stop(self, timeout=5.0):
-        """Cancel what still runs and end the thread.
+        """Cancel all tasks and stop the thread.
 
-        :param timeout: longest wait in seconds.
+        :param timeout: seconds to wait for the thread to end.
         """
         if not self._thread.is_alive():
             return
@@ -112,8 +113,8 @@
         tasks = asyncio.all_tasks(self.loop)
         for task in tasks:
             task.cancel()
-        ending = asyncio.gather(*tasks, return_exceptions=True)
-        ending.add_done_callback(self._end_loop)
+        all_cancelled = asyncio.gather(*tasks, return_exceptions=True)
+        all_cancelled.add_done_callback(self._stop_loop)
 
-    def _end_loop(self, _ending):
+    def _stop_loop(self, _all_cancelled):
         self.loop.stop()
