--- a/cornelgap/kernel/pages.py
+++ b/cornelgap/kernel/pages.py
@@ -1,85 +1,93 @@
-"""A very small HTTP server for pages without parameters.
+"""A minimal threaded HTTP server for GET requests without parameters.
 
-Each connection has a thread of its own and may ask several times.  It
-exists beside :mod:`cornelgap.kernel.metrics` for programs that run on
-machines of 120 MB: it needs no event loop, and a page may import what it
-needs when it is first asked for.
+Each connection has its own thread and may send several requests.  Programs
+on machines with 120 MB of memory use this server instead of the one in
+:mod:`cornelgap.kernel.metrics`: it needs no event loop, and a page function
+may defer its imports to the first request.
 """
 
 import logging
 import socketserver
 
-READ_S = 2.0
-"""Longest silence of a connection, seconds; routers ask twice a second."""
+READ_TIMEOUT_S = 2.0
+"""Seconds after which an idle connection is closed; routers send two requests
+a second."""
 
-BACKLOG = 512
-"""Connections that may wait to be accepted.  All instances of a zone ask a
-hub in the same moment after a change; with the library's 5 the others'
-opening packets were dropped, and their facts were a second old."""
+ACCEPT_BACKLOG = 512
+"""Length of the queue of connections that wait to be accepted.  After a change
+all instances of a zone connect to a hub at the same moment.  With the default
+of :mod:`socketserver`, 5, the SYN packets of the other instances were dropped
+and their data was a second old."""
 
-HEAD_BYTES = 4096
-REASONS = {
+MAX_HEADER_BYTES = 4096
+REASON_PHRASES = {
     200: b'OK',
     404: b'Not Found',
     405: b'Method Not Allowed',
     503: b'Service Unavailable',
 }
-_END = b'\r\n\r\n'
+_HEADER_END = b'\r\n\r\n'
 _LOG = logging.getLogger('cornelgap.ready')
 
 
 def make_server(address, pages):
-    """Make a server.
+    """Create an HTTP server that is bound and listening.
 
     :param address: tuple (host, port).
-    :param pages: functions by path, each giving a tuple (status, body).
-    :returns: a server with ``serve_forever`` and ``shutdown``.
+    :param pages: dict of page functions by path; each takes no arguments and
+        returns a tuple (status, body).
+    :returns: a :class:`socketserver.ThreadingTCPServer`.
     """
 
     class Handler(socketserver.BaseRequestHandler):
         def handle(self):
-            self.request.settimeout(READ_S)
+            self.request.settimeout(READ_TIMEOUT_S)
             try:
-                _serve(self.request, pages)
+                _serve_connection(self.request, pages)
             except OSError as exc:
-                # Whoever asked has gone or is too slow; he asks again.
+                # The client disconnected or timed out; it will retry.
                 _LOG.debug(
-                    'ready: question given up', extra={'error': repr(exc)}
+                    'ready: connection aborted', extra={'error': repr(exc)}
                 )
 
     return make_tcp_server(address, Handler)
 
 
 def make_tcp_server(address, handler):
-    """Make a server with a daemon thread for each connection."""
+    """Create a TCP server that handles each connection in a daemon thread.
+
+    :param address: tuple (host, port).
+    :param handler: a :class:`socketserver.BaseRequestHandler` class.
+    :returns: a server that is bound and listening.
+    """
     server = socketserver.ThreadingTCPServer(
         address, handler, bind_and_activate=False
     )
     server.daemon_threads = True
     server.allow_reuse_address = True
-    server.request_queue_size = BACKLOG
+    server.request_queue_size = ACCEPT_BACKLOG
     server.server_bind()
     server.server_activate()
     return server
 
 
-def _serve(sock, pages):
-    head = b''
+def _serve_connection(sock, pages):
+    received = b''
     while True:
-        while _END not in head:
-            chunk = sock.recv(HEAD_BYTES)
-            if not chunk or len(head) > HEAD_BYTES:
+        while _HEADER_END not in received:
+            chunk = sock.recv(MAX_HEADER_BYTES)
+            if not chunk or len(received) > MAX_HEADER_BYTES:
                 return
-            head += chunk
-        request, _, head = head.partition(_END)
-        status, body = _make_page(request, pages)
+            received += chunk
+        request, _, received = received.partition(_HEADER_END)
+        status, body = _handle_request(request, pages)
         sock.sendall(
             b'HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s'
-            % (status, REASONS[status], len(body), body)
+            % (status, REASON_PHRASES[status], len(body), body)
         )
 
 
-def _make_page(request, pages):
+def _handle_request(request, pages):
     words = request.split(b' ', 2)
     if words[0] != b'GET' or len(words) < 2:
         return 405, b''
