--- a/cornelgap/kernel/metrics.py
+++ b/cornelgap/kernel/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics for Prometheus and a health endpoint, served over HTTP.
+"""Prometheus metrics and a readiness endpoint, served over HTTP.
 
-One actor owns the thread whose loop serves them.  Values are read when they
-are asked for, so that metrics cost nothing in between; whoever asks waits,
-never the packets.
+One actor owns the thread whose event loop serves both.  Values are read only
+when a client requests them, so that metrics cost nothing between requests.
+The HTTP client waits for the values; packet handling never waits.
 """
 
 import asyncio
@@ -20,27 +20,34 @@
 GAUGE = 'gauge'
 
 MAX_SERIES = 80
-"""Label sets of one metric.  A label that takes any text, such as a service
-name in a folder of thousands, would fill the memory of whoever collects."""
+"""Label sets per metric.  A label with arbitrary values, such as the service
+names of a folder with thousands of services, would exhaust the memory of the
+system that collects the metrics."""
 
 OTHER = 'other'
-HEAD_BYTES = 8192
-READ_S = 5.0
+MAX_HEADER_BYTES = 8192
+IO_TIMEOUT_S = 5.0
 MAX_CONNS = 16
-START_S = 5.0
-
-_KINDS = {COUNTER: Counter, GAUGE: Gauge}
-_REASONS = {200: 'OK', 404: 'Not Found', 405: 'Not Allowed', 503: 'Not Ready'}
+START_TIMEOUT_S = 5.0
+
+_COLLECTOR_CLASSES = {COUNTER: Counter, GAUGE: Gauge}
+_REASON_PHRASES = {
+    200: 'OK',
+    404: 'Not Found',
+    405: 'Not Allowed',
+    503: 'Not Ready',
+}
 _LOG = logging.getLogger('cornelgap.metrics')
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One metric as docs/METRICS.md lists it.
+    """Definition of one metric, as listed in docs/METRICS.md.
 
-    :param name: with its unit, by Prometheus' convention.
-    :param kind: counter or gauge.
-    :param labels: label names; each takes few values.
+    :param name: name that includes the unit, by the convention of Prometheus.
+    :param kind: :data:`COUNTER` or :data:`GAUGE`.
+    :param doc: meaning of the metric, for people.
+    :param labels: label names; each label has few distinct values.
     """
 
     name: str
@@ -53,6 +60,7 @@
 class Sample:
     """One value of a metric.
 
+    :param name: name of the :class:`Metric`.
     :param labels: label values in the order of the metric's label names.
     """
 
@@ -63,18 +71,18 @@
 
 @dataclass(frozen=True, slots=True)
 class GetPort:
-    """Message: give the port that is served; asked, not told."""
+    """Message sent by ``ask``: return the port of the HTTP server."""
 
 
 class MetricSet:
-    """The metrics of a process, as their library keeps them."""
+    """The metrics of a process in a registry of aioprometheus."""
 
     def __init__(self, catalogue):
-        """Make a collector of each metric of a catalogue."""
+        """Create a collector for each :class:`Metric` of a catalogue."""
         self._metrics = {metric.name: metric for metric in catalogue}
         self._registry = Registry()
         self._collectors = {
-            metric.name: _KINDS[metric.kind](
+            metric.name: _COLLECTOR_CLASSES[metric.kind](
                 metric.name, metric.doc, registry=self._registry
             )
             for metric in catalogue
@@ -83,8 +91,8 @@
     def set_samples(self, samples):
         """Replace all values.
 
-        Samples beyond :data:`MAX_SERIES` of a metric are summed up under
-        the label value ``other``.
+        A metric keeps at most :data:`MAX_SERIES` label sets; samples with
+        further label sets are added up under the label value ``other``.
 
         :raises KeyError: if a sample's metric is not in the catalogue.
         """
@@ -101,7 +109,7 @@
     def render(self, accept=''):
         """Render all values.
 
-        :param accept: the ``Accept`` header of who asks.
+        :param accept: value of the request's ``Accept`` header.
         :returns: (body, headers).
         """
         return render(self._registry, [accept])
@@ -115,7 +123,7 @@
 
 
 def format_catalogue(catalogue):
-    """Format the catalogue as a table for docs/METRICS.md."""
+    """Format a catalogue as the Markdown table of docs/METRICS.md."""
     lines = [
         '| Metric | Kind | Labels | Meaning |',
         '| --- | --- | --- | --- |',
@@ -133,100 +141,111 @@
 
 
 class MetricsActor(Service):
-    """Owns the thread that serves ``/metrics`` and ``/ready``.
-
-    :param address: ``host:port``; port 0 lets the kernel choose.
-    :param catalogue: all :class:`Metric` items.
-    :param read_samples: gives a list of :class:`Sample`; may wait, but not
-        for long.
-    :param read_ready: gives (whether ready, facts by name); the same.
+    """Runs the HTTP server of ``/metrics`` and ``/ready`` in its own thread.
+
+    :param address: ``host:port``; for port 0 the operating system chooses.
+    :param catalogue: list of all :class:`Metric` definitions.
+    :param read_samples: function that returns a list of :class:`Sample`; may
+        block for a short time.
+    :param read_readiness: function that returns a tuple (whether the instance
+        is ready, dict of details); may block for a short time.
     """
 
-    def __init__(self, scope, address, catalogue, read_samples, read_ready):
-        """Prepare; nothing is served before the start."""
+    def __init__(self, scope, address, catalogue, read_samples, read_readiness):
+        """Prepare the server, which is started by :meth:`begin`."""
         super().__init__(scope, METRICS)
         self._address = address
-        self._site = MetricsSite(MetricSet(catalogue), read_samples, read_ready)
-        self._loops = LoopThread(METRICS)
+        self._http_server = MetricsServer(
+            MetricSet(catalogue), read_samples, read_readiness
+        )
+        self._loop_thread = LoopThread(METRICS)
         self._port = 0
         self.handlers = {GetPort: self._get_port}
 
     def begin(self):
-        """Start the thread and serve."""
-        self._loops.start()
-        self._port = self._loops.submit(self._site.start(self._address)).result(
-            START_S
-        )
+        """Start the thread and the HTTP server."""
+        self._loop_thread.start()
+        self._port = self._loop_thread.submit(
+            self._http_server.start(self._address)
+        ).result(START_TIMEOUT_S)
 
     def end(self):
-        """Stop serving and end the thread."""
-        self._loops.submit(self._site.close()).result(START_S)
-        self._loops.stop()
+        """Stop the HTTP server and the thread."""
+        self._loop_thread.submit(self._http_server.close()).result(
+            START_TIMEOUT_S
+        )
+        self._loop_thread.stop()
 
     def _get_port(self, _message):
         return self._port
 
 
-class MetricsSite:
-    """A very small HTTP server: two pages, no bodies, one request a
-    connection.  The metrics library brings none without a web framework."""
+class MetricsServer:
+    """A minimal HTTP server with two pages and one request per connection.
 
-    def __init__(self, metrics, read_samples, read_ready):
-        """Prepare the pages."""
+    It ignores request bodies.  The metrics library offers a server only
+    together with a web framework.
+    """
+
+    def __init__(self, metrics, read_samples, read_readiness):
+        """Prepare the pages; parameters as of :class:`MetricsActor`."""
         self._metrics = metrics
         self._read_samples = read_samples
-        self._read_ready = read_ready
+        self._read_readiness = read_readiness
         self._server = None
-        self._conns = 0
-        self._rendering = asyncio.Lock()
+        self._conn_count = 0
+        self._render_lock = asyncio.Lock()
         self._pages = {
-            '/metrics': self._make_metrics,
-            '/ready': self._make_ready,
+            '/metrics': self._render_metrics,
+            '/ready': self._render_readiness,
         }
 
     async def start(self, address):
-        """Begin to serve.
+        """Bind the address and start to serve.
 
-        :returns: the port.
+        :param address: ``host:port``.
+        :returns: the port number in use.
         """
         host, _, port = address.rpartition(':')
         self._server = await asyncio.start_server(
-            self._serve_conn, host, int(port), limit=HEAD_BYTES
+            self._serve_connection, host, int(port), limit=MAX_HEADER_BYTES
         )
         return self._server.sockets[0].getsockname()[1]
 
     async def close(self):
-        """Stop serving."""
+        """Stop the server."""
         self._server.close()
         await self._server.wait_closed()
 
-    async def _serve_conn(self, reader, writer):
-        self._conns += 1
+    async def _serve_connection(self, reader, writer):
+        self._conn_count += 1
         try:
-            if self._conns <= MAX_CONNS:
-                await self._answer(reader, writer)
+            if self._conn_count <= MAX_CONNS:
+                await self._handle_request(reader, writer)
         except (OSError, asyncio.TimeoutError, asyncio.LimitOverrunError):
-            # Whoever asked has gone, is too slow or sends no request.
-            _LOG.debug('metrics: request given up')
+            # The client disconnected, timed out or sent a too long header.
+            _LOG.debug('metrics: request aborted')
         except asyncio.IncompleteReadError:
             _LOG.debug('metrics: request incomplete')
         finally:
-            self._conns -= 1
+            self._conn_count -= 1
             writer.close()
 
-    async def _answer(self, reader, writer):
-        head = await asyncio.wait_for(reader.readuntil(b'\r\n\r\n'), READ_S)
-        method, path, accept = _parse_head(head)
-        status, headers, body = await self._make_page(method, path, accept)
-        lines = [f'HTTP/1.1 {status} {_REASONS[status]}']
+    async def _handle_request(self, reader, writer):
+        header = await asyncio.wait_for(
+            reader.readuntil(b'\r\n\r\n'), IO_TIMEOUT_S
+        )
+        method, path, accept = _parse_header(header)
+        status, headers, body = await self._render_page(method, path, accept)
+        lines = [f'HTTP/1.1 {status} {_REASON_PHRASES[status]}']
         lines += [f'{name}: {value}' for name, value in headers.items()]
         lines += [f'Content-Length: {len(body)}', 'Connection: close', '', '']
         writer.write('\r\n'.join(lines).encode())
         if method != 'HEAD':
             writer.write(body)
-        await asyncio.wait_for(writer.drain(), READ_S)
+        await asyncio.wait_for(writer.drain(), IO_TIMEOUT_S)
 
-    async def _make_page(self, method, path, accept):
+    async def _render_page(self, method, path, accept):
         if method not in {'GET', 'HEAD'}:
             return 405, {}, b''
         page = self._pages.get(path.partition('?')[0])
@@ -235,35 +254,40 @@
         try:
             return await page(accept)
         except Exception as exc:
-            # An actor that does not answer makes the instance not ready;
-            # the page says so instead of breaking off.
-            _LOG.warning('metrics: no values', extra={'error': repr(exc)})
+            # If an actor does not answer, the instance is not ready.  Report
+            # that with a status instead of closing the connection.
+            _LOG.warning(
+                'metrics: values not available', extra={'error': repr(exc)}
+            )
             return 503, {}, b''
 
-    async def _make_metrics(self, accept):
-        # Two collectors at once must not read half of each other's values.
-        async with self._rendering:
-            self._metrics.set_samples(await _run(self._read_samples))
+    async def _render_metrics(self, accept):
+        # Requests replace and render the values one at a time, so that none
+        # renders a mixture of old and new values.
+        async with self._render_lock:
+            self._metrics.set_samples(
+                await _run_in_executor(self._read_samples)
+            )
             body, headers = self._metrics.render(accept)
         return 200, headers, body
 
-    async def _make_ready(self, _accept):
-        ready, facts = await _run(self._read_ready)
-        body = json.dumps({'ready': ready, **facts}).encode()
+    async def _render_readiness(self, _accept):
+        ready, details = await _run_in_executor(self._read_readiness)
+        body = json.dumps({'ready': ready, **details}).encode()
         headers = {'Content-Type': 'application/json'}
         return 200 if ready else 503, headers, body
 
 
-async def _run(func):
+async def _run_in_executor(func):
     return await asyncio.get_running_loop().run_in_executor(None, func)
 
 
-def _parse_head(head):
-    lines = head.decode('latin-1').split('\r\n')
-    method, _, rest = lines[0].partition(' ')
+def _parse_header(header):
+    lines = header.decode('latin-1').split('\r\n')
+    method, _, path_and_version = lines[0].partition(' ')
     accept = ''
     for line in lines[1:]:
         name, _, value = line.partition(':')
         if name.strip().lower() == 'accept':
             accept = value.strip()
-    return method, rest.partition(' ')[0], accept
+    return method, path_and_version.partition(' ')[0], accept
