--- a/cornelgap/kernel/supervision.py
+++ b/cornelgap/kernel/supervision.py
@@ -1,10 +1,11 @@
-"""A crashed or stuck actor is noticed, logged and counted.
-
-An actor that dies takes no other one with it: the process would go on
-answering, with its configuration frozen or its metrics silent, and nobody
-would know.  The supervisor hears of each crash, asks the actors now and
-then for a sign of life, and lets a policy decide whether the process must
-end so that the platform replaces it.
+"""Supervision: detects, logs and counts crashed and unresponsive actors.
+
+When an actor crashes, the other actors of the process continue.  Without
+supervision the process would keep answering packets, but with a frozen
+configuration or without metrics, and nobody would notice.  The supervisor
+receives a report of each crash, probes the actors periodically, and calls a
+function that decides whether the process must end so that the platform
+replaces it.
 """
 
 import logging
@@ -20,24 +21,32 @@
 SUPERVISOR = 'supervisor'
 
 PROBE_EVERY_S = 1.0
-STUCK_S = 10.0
-"""Silence after which an actor counts as stuck.  The longest honest turn is
-a decoding of the configuration at the design size, well below a second."""
+STUCK_TIMEOUT_S = 10.0
+"""Seconds without an answer to a probe after which an actor counts as stuck.
+The longest normal message handling, decoding a configuration of the design
+size, takes well below a second."""
 
 _LOG = logging.getLogger('cornelgap.supervision')
 
 
-class Crashed(Struct, frozen=True):
-    """Message: an actor has ended by an error."""
+class ActorCrashed(Struct, frozen=True):
+    """Message: an actor has crashed.
+
+    :param name: name of the actor.
+    :param text: type and text of the exception.
+    """
 
     name: str
     text: str
 
 
 class WatchActor(Struct, frozen=True):
-    """Message: ask this actor for signs of life.
+    """Message: probe this actor periodically.
 
-    :param probe: message that the actor answers at once; it is asked.
+    :param name: name of the actor.
+    :param ref: its :class:`pykka.ActorRef`.
+    :param probe: message that is sent by ``ask`` and that the actor answers
+        immediately.
     """
 
     name: str
@@ -46,15 +55,20 @@
 
 
 class ProbeActors(Struct, frozen=True):
-    """Message: time to ask all watched actors."""
+    """Message: probe all watched actors now."""
 
 
 class CountCrashes(Struct, frozen=True):
-    """Message: give the number of crashes by name; asked, not told."""
+    """Message sent by ``ask``: return a dict of crash counts by actor name."""
 
 
 def report_crash(scope, name, exc):
-    """Log a crash and tell the supervisor of the scope, if there is one."""
+    """Log a crash and report it to the scope's supervisor, if there is one.
+
+    :param scope: name of the instance.
+    :param name: name of the crashed actor.
+    :param exc: exception that ended it.
+    """
     text = f'{type(exc).__name__}: {exc}'
     _LOG.error(
         'supervision: actor crashed',
@@ -66,25 +80,33 @@
         },
         exc_info=exc,
     )
-    tell_service(scope, SUPERVISOR, Crashed(name, text))
+    tell_service(scope, SUPERVISOR, ActorCrashed(name, text))
+
 
+class _WatchedActor(Struct):
+    """A watched actor and its last probe.
+
+    :param answer: pykka future of the answer; None before the first probe.
+    :param probed_at: time at which the last probe was sent.
+    """
 
-class _Watched(Struct):
     ref: object
     probe: object
     answer: object = None
-    asked_at: float = 0
+    probed_at: float = 0
 
 
 class Supervisor(pykka.ThreadingActor):
-    """Counts crashes and notices actors that answer no more.
+    """Counts crashes and detects actors that no longer answer.
 
-    :param on_crash: called in this actor with the name of each actor that
-        has crashed or is stuck; it decides what becomes of the process.
+    :param scope: name of the instance.
+    :param on_crash: function called in the supervisor's thread with the name
+        of each crashed or stuck actor; decides whether the process must end.
+    :param now: function that returns the time in seconds.
     """
 
     def __init__(self, scope, on_crash, now=time.monotonic):
-        """Watch nobody yet."""
+        """Start without any watched actor."""
         super().__init__()
         claim_name(self, scope, SUPERVISOR)
         self._scope = scope
@@ -95,10 +117,10 @@
 
     def on_receive(self, message):
         """Handle one message."""
-        if isinstance(message, Crashed):
-            self._note_crash(message.name)
+        if isinstance(message, ActorCrashed):
+            self._record_crash(message.name)
         elif isinstance(message, WatchActor):
-            watched = _Watched(message.ref, message.probe)
+            watched = _WatchedActor(message.ref, message.probe)
             self._watched[message.name] = watched
         elif isinstance(message, ProbeActors):
             self._probe_actors()
@@ -106,7 +128,7 @@
             return dict(self._crashes)
         return None
 
-    def _note_crash(self, name):
+    def _record_crash(self, name):
         self._watched.pop(name, None)
         self._crashes[name] += 1
         self._on_crash(name)
@@ -114,37 +136,39 @@
     def _probe_actors(self):
         now = self._now()
         for name, watched in list(self._watched.items()):
-            if watched.answer is not None and not _is_answered(watched):
-                if now - watched.asked_at >= STUCK_S:
+            if watched.answer is not None and not _has_answered(watched):
+                if now - watched.probed_at >= STUCK_TIMEOUT_S:
                     self._report_stuck(name)
                 continue
-            watched.asked_at = now
+            watched.probed_at = now
             try:
                 watched.answer = watched.ref.ask(watched.probe, block=False)
             except pykka.ActorDeadError:
-                # It was stopped on purpose; a crash would have been told.
+                # The actor was stopped on purpose; a crash would have been
+                # reported.
                 self._watched.pop(name)
 
     def _report_stuck(self, name):
-        # An error outside a turn, such as in the inbox itself, ends the
-        # actor's thread without any report; so does a turn that never ends.
+        # No crash report exists in two cases: an exception outside message
+        # handling, such as in the inbox, ended the actor's thread, or the
+        # handling of a message never returns.
         _LOG.error(
-            'supervision: actor answers no more',
+            'supervision: actor does not respond',
             extra={
                 'code': str(Code.NET_ACTOR_CRASHED),
                 'actor': name,
                 'instance': self._scope,
             },
         )
-        self._note_crash(name)
+        self._record_crash(name)
 
 
-def _is_answered(watched):
+def _has_answered(watched):
     try:
         watched.answer.get(timeout=0)
     except pykka.Timeout:
         return False
     except Exception:
-        # Any answer, an error too, is a sign of life.
+        # Any answer, even an error, shows that the actor is running.
         return True
     return True
