--- a/cornelgap/kernel/names.py
+++ b/cornelgap/kernel/names.py
@@ -1,26 +1,28 @@
-"""Services find each other by name over pykka's registry.
+"""Lookup of services, the named actors, in pykka's actor registry.
 
-A name is unique within a scope, the name of the instance that the process
-runs.  Several instances may run in one process, as tests do, and never find
-each other's services.
+A name is unique within a scope, which is the name of an instance.  Several
+instances may run in one process, as in tests; because of the scope they
+never find each other's services.
 """
 
 import pykka
 
 
 class ServiceMissing(LookupError):
-    """No service of this name runs."""
+    """No service with this name is running."""
 
 
 def make_urn(scope, name):
-    """Make the registry's key of a service."""
+    """Return the key of a service in the actor registry."""
     return f'cornelgap:{scope}:{name}'
 
 
 def claim_name(actor, scope, name):
-    """Give an actor its name; called in its constructor, after the base's.
+    """Set the registry key of an actor.
 
-    The library makes the actor's reference together with a random name.
+    Call this in the actor's constructor, after the constructor of
+    :class:`pykka.Actor`, which has set a random key for the actor and its
+    reference.
     """
     actor.actor_urn = make_urn(scope, name)
     actor.actor_ref.actor_urn = actor.actor_urn
@@ -29,7 +31,7 @@
 def find_service(scope, name):
     """Find a running service.
 
-    :returns: its :class:`pykka.ActorRef`, or None.
+    :returns: its :class:`pykka.ActorRef`, or None if there is none.
     """
     ref = pykka.ActorRegistry.get_by_urn(make_urn(scope, name))
     return ref if ref is not None and ref.is_alive() else None
@@ -38,6 +40,7 @@
 def get_service(scope, name):
     """Get a running service.
 
+    :returns: its :class:`pykka.ActorRef`.
     :raises ServiceMissing: if there is none.
     """
     ref = find_service(scope, name)
@@ -47,12 +50,12 @@
 
 
 def tell_ref(ref, message):
-    """Tell an actor something, if it still runs.
+    """Send a message to an actor unless it has stopped.
 
-    During a stop, threads and the loop outlive the actors that they serve;
-    what they still report is of no use to anybody.
+    While a process stops, its threads and event loop outlive the actors to
+    which they report; what they report by then is no longer needed.
 
-    :returns: whether the message went into an inbox.
+    :returns: whether the message was put into the actor's inbox.
     """
     try:
         ref.tell(message)
@@ -62,9 +65,9 @@
 
 
 def tell_service(scope, name, message):
-    """Tell a service something, if it runs.
+    """Send a message to a service if it is running.
 
-    :returns: whether it does.
+    :returns: whether the message was put into the service's inbox.
     """
     ref = find_service(scope, name)
     return ref is not None and tell_ref(ref, message)
