--- a/cornelgap/kernel/__init__.py
+++ b/cornelgap/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The micro-kernel: named services and inboxes that also hold sockets."""
+"""Runtime of the actors: lookup, inboxes, supervision, logs, metrics, TLS."""
--- a/cornelgap/kernel/service.py
+++ b/cornelgap/kernel/service.py
@@ -1,4 +1,4 @@
-"""Base of the actors: a name, a table of messages, a noticed crash."""
+"""Base class of the actors, with a name, message handlers and crash reports."""
 
 import logging
 
@@ -11,14 +11,18 @@
 
 
 class Service(pykka.ThreadingActor):
-    """An actor with a name in a scope.
+    """An actor that others find by its name within a scope.
 
-    A subclass fills :attr:`handlers` with one method a message type, and
-    may override :meth:`begin` and :meth:`end`.
+    A subclass sets :attr:`handlers`, a dict from message type to the method
+    that handles it, and may override :meth:`begin` and :meth:`end`.
     """
 
     def __init__(self, scope, name):
-        """Take the name, under which others find this actor."""
+        """Register the name of this actor.
+
+        :param scope: name of the instance to which the actor belongs.
+        :param name: name of the actor, unique within the scope.
+        """
         super().__init__()
         claim_name(self, scope, name)
         self.scope = scope
@@ -26,20 +30,21 @@
         self.handlers = {}
 
     def on_receive(self, message):
-        """Handle one message in one turn."""
+        """Handle one message by the method for its type."""
         return self.handlers[type(message)](message)
 
     def begin(self):
-        """Start what this actor owns, in its own thread."""
+        """Acquire the actor's resources; runs in the actor's thread."""
 
     def end(self):
-        """Close what this actor owns, after a stop or a crash."""
+        """Release the actor's resources, after a stop or a crash."""
 
     def on_start(self):
-        """Begin; an error is a crash like any other.
+        """Call :meth:`begin` and report an exception as a crash.
 
-        The library calls no hook when the start itself fails: the port in
-        use, say.  The process would run on without the part.
+        pykka calls no hook when the start itself fails, for example because a
+        port is in use.  Without the report, the process would continue
+        without this actor.
         """
         try:
             self.begin()
@@ -48,13 +53,13 @@
             raise
 
     def on_stop(self):
-        """End after a stop."""
+        """Release the resources after a stop."""
         self.end()
 
     def on_failure(self, exception_type, exception_value, traceback):
-        """Report the crash that ends this actor and close what it owns."""
+        """Report the crash that ends this actor and release its resources."""
         report_crash(self.scope, self.name, exception_value)
         try:
             self.end()
         except Exception:
-            _LOG.exception('supervision: actor ended badly')
+            _LOG.exception('supervision: actor cleanup failed')
