--- a/cornelgap/kernel/names.py
+++ b/cornelgap/kernel/names.py
@@ -17,7 +17,7 @@
     return f'cornelgap:{scope}:{name}'
 
 
-def claim_name(actor, scope, name):
+def set_actor_name(actor, scope, name):
     """Set the registry key of an actor.
 
     Call this in the actor's constructor, after the constructor of
--- a/cornelgap/kernel/service.py
+++ b/cornelgap/kernel/service.py
@@ -4,7 +4,7 @@
 
 import pykka
 
-from cornelgap.kernel.names import claim_name
+from cornelgap.kernel.names import set_actor_name
 from cornelgap.kernel.supervision import report_crash
 
 _LOG = logging.getLogger('cornelgap.supervision')
@@ -24,7 +24,7 @@
         :param name: name of the actor, unique within the scope.
         """
         super().__init__()
-        claim_name(self, scope, name)
+        set_actor_name(self, scope, name)
         self.scope = scope
         self.name = name
         self.handlers = {}
--- a/cornelgap/kernel/supervision.py
+++ b/cornelgap/kernel/supervision.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from cornelgap.core.errors import Code
-from cornelgap.kernel.names import claim_name, tell_service
+from cornelgap.kernel.names import set_actor_name, tell_service
 
 SUPERVISOR = 'supervisor'
 
@@ -108,7 +108,7 @@
     def __init__(self, scope, on_crash, now=time.monotonic):
         """Start without any watched actor."""
         super().__init__()
-        claim_name(self, scope, SUPERVISOR)
+        set_actor_name(self, scope, SUPERVISOR)
         self._scope = scope
         self._on_crash = on_crash
         self._now = now
