--- a/cornelgap/kernel/names.py
+++ b/cornelgap/kernel/names.py
@@ -9,7 +9,10 @@
 
 
 class ServiceMissing(LookupError):
-    """No service with this name is running."""
+    """No service with this name is running.
+
+    Keep the class name: the ``/ready`` page reports it as ``problem``.
+    """
 
 
 def make_urn(scope, name):
--- a/cornelgap/kernel/pages.py
+++ b/cornelgap/kernel/pages.py
@@ -15,9 +15,9 @@
 
 ACCEPT_BACKLOG = 512
 """Length of the queue of connections that wait to be accepted.  After a change
-all instances of a zone connect to a hub at the same moment.  With the default
-of :mod:`socketserver`, 5, the SYN packets of the other instances were dropped
-and their data was a second old."""
+all instances of a zone connect to a hub at the same moment.  With a backlog of
+5, the default of :mod:`socketserver`, SYN packets of some instances were
+dropped and their data was a second old."""
 
 MAX_HEADER_BYTES = 4096
 REASON_PHRASES = {
