--- a/cornelgap/kernel/service.py
+++ b/cornelgap/kernel/service.py
@@ -34,10 +34,10 @@
         return self.handlers[type(message)](message)
 
     def begin(self):
-        """Acquire the actor's resources; runs in the actor's thread."""
+        """Start what this actor owns, in its own thread."""
 
     def end(self):
-        """Release the actor's resources, after a stop or a crash."""
+        """Close what this actor owns, after a stop or a crash."""
 
     def on_start(self):
         """Call :meth:`begin` and report an exception as a crash.
@@ -53,11 +53,11 @@
             raise
 
     def on_stop(self):
-        """Release the resources after a stop."""
+        """Close what this actor owns after a stop."""
         self.end()
 
     def on_failure(self, exception_type, exception_value, traceback):
-        """Report the crash that ends this actor and release its resources."""
+        """Report the crash that ends this actor and close what it owns."""
         report_crash(self.scope, self.name, exception_value)
         try:
             self.end()
