--- a/cornelgap/decisions/flow_health.py
+++ b/cornelgap/decisions/flow_health.py
@@ -1,69 +1,77 @@
-"""Whether a target answers, judged by the flows that it carries.
+"""Detects targets that have stopped answering, from passing client traffic.
 
 Load pattern: a target crashes, or the network to it is cut.  Its
-registration stays for three heartbeats, seconds in which each new flow that
-is placed on it, and each request of the flows that it held, is lost for its
-caller's whole deadline.  Registrations and health endpoints lag or mislead;
-a caller that repeats its SYN or its data does not: nothing came back.
-
-One repeat proves little: packets are lost on the way, and work may take
-longer than a caller waits before it repeats (0.2 s).  But a live target
-confirms a repeated packet at once, so a second repeat (after 0.6 s) is rare.
-Repeats of several flows, a second one among them, without a single answer
-to anybody prove that a target answers nobody.
-
-A target that is full takes no flow and confirms no opening either, while it
-serves those that it holds.  So repeated openings keep further ones away, but
-never speak against open flows.
+registration expires only after three missed heartbeats.  During these
+seconds every new flow that is placed on it, and every request on its
+existing flows, is lost until the caller's deadline.  Registrations and
+health endpoints lag or mislead.  A caller that retransmits its SYN or data
+(a repeat, in this module) is direct evidence that no answer came back.
+
+A single repeat is weak evidence: packets get lost, and work may take longer
+than the 0.2 s that a caller waits before it repeats.  A live target confirms
+a repeated packet at once, though, so a second repeat (after 0.6 s) is rare.
+If several flows repeat, at least one of them for the second time, and no
+caller gets an answer, the target is taken to be silent.
+
+A full target accepts no flow and does not confirm the attempt either, but
+still serves its open flows.  Repeated openings therefore only keep further
+new flows away and never count against open flows.
 """
 
 from msgspec import Struct, field
 
 from cornelgap.decisions.backoff import compute_backoff
 
-AVOID_FLOWS = 2
+MIN_REPEATING_FLOWS = 2
 """Flows that repeat without any answer in between before a target gets no
-new flow.  Two packets that are lost by chance rarely meet on one target."""
+new flow.  Two packets lost by chance rarely concern the same target."""
 
 AVOID_S = 1.0
-"""Time without new flows; then the next flow is a probe.  A crashed
-target's registration lapses within 4 s, so few probes are lost."""
+"""Time without new flows; the next flow after it is a probe.  The
+registration of a crashed target expires within 4 s, so few probes are
+lost."""
 
 LONGEST_AVOID_S = 4.0
 
 ANSWER_S = 0.15
-"""A repeat counts only if the target has not answered anybody for so long:
-callers repeat after 200 ms, a busy target answers several flows in that."""
+"""A repeat counts only if the target has answered no caller for this long.
+Callers repeat after 200 ms; a busy target answers several flows in that
+time."""
 
 WINDOW_S = 1.0
-"""Age up to which a repeat counts.  Older ones were answered since, by way
-of an instance that we need not have heard."""
+"""Age up to which a repeat counts.  Older ones have been answered since,
+possibly through an instance that has not told this one."""
 
 OPENING_WEIGHT = 0
 FIRST_WEIGHT = 1
 SECOND_WEIGHT = 2
 SILENT_WEIGHT = 5
 SILENT_S = 0.4
-"""Weight of repeats, and time without one answer, before the flows that a
-target holds are given up: one second repeat and first ones of three more
-flows, or three second ones.  First repeats alone prove nothing: a cold
-target answers several flows of a zone late at the same time."""
+"""Total weight of repeats, and time without any answer, from which on the
+flows of a target are given up: one second repeat and first repeats of three
+more flows, or three second repeats.  First repeats alone are not enough: a
+cold target answers several flows of a zone late at the same time."""
 
 SILENT_HOLD_S = 3.0
 """Time for which a target then counts as silent unless it answers; its
-registration lapses about then."""
+registration expires at about the same time."""
 
 PROBE_S = 0.5
-"""Pause between two packets that a silent target gets all the same, so
-that its answer can show that it is back."""
+"""Interval at which a silent target still gets one packet, so that an answer
+can show that it has recovered."""
 
 
 class _Record(Struct):
-    """What flows say of one target since its last answer.
+    """Evidence about one target since its last answer.
 
     :param repeats: tuple (time, weight) of the last repeat by flow.
-    :param shown_at: when flows of this instance showed the last answer.
-    :param answered_at: the same by flows of any instance.
+    :param silent_until: until when the target counts as silent.
+    :param probe_at: when the silent target may get its next packet.
+    :param repeated_at: time of the last repeat that counted.
+    :param answered_at: time of the last answer, as seen by any instance.
+    :param shown_at: time of the last answer that this instance saw itself.
+    :param avoided_until: until when the target gets no new flow.
+    :param avoided: how often in a row it was avoided; sets the backoff.
     """
 
     repeats: dict = field(default_factory=dict)
@@ -77,37 +85,37 @@
 
 
 class FlowHealth:
-    """What flows say of each target; keys are any hashable names.
+    """Tracks repeats and answers per target; keys are any hashable names.
 
-    :ivar witnesses: instances whose flows must speak against a target.  An
-        instance whose own link loses packets sees all targets silent, and
-        would reset the flows of each.
+    :ivar witnesses: number of instances that must see repeats before a
+        target counts as silent.  An instance whose own link loses packets
+        sees no answer from any target; by itself it would reset all flows.
     """
 
     def __init__(self):
-        """Trust everybody."""
+        """Start with no evidence against any target."""
         self._records = {}
         self.witnesses = 1
 
     def note_repeat(
         self, key, flow, now, again=False, away=False, opening=False
     ):
-        """Note that a caller repeated what it had sent to a target.
+        """Record that a caller repeated a packet to a target.
 
         :param flow: tuple (instance, name of the caller's flow).
-        :param again: whether it had repeated the same before.
-        :param away: whether the target's whole zone is out of reach.
-        :param opening: whether it asks for a flow that is not open yet.
-        :returns: whether it speaks against the target.
+        :param again: whether the same packet had been repeated before.
+        :param away: whether the target's whole zone is unreachable.
+        :param opening: whether the packet asks for a new flow.
+        :returns: whether the repeat counts as evidence against the target.
         """
         record = self._records.setdefault(key, _Record())
         if now - record.answered_at < ANSWER_S:
             return False
-        weight = _weigh(again, opening)
+        weight = _compute_weight(again, opening)
         record.repeats[flow] = (now, weight)
         record.repeated_at = now
-        recent = _list_recent(record, now)
-        if len(recent) >= AVOID_FLOWS and now >= record.avoided_until:
+        recent = _prune_repeats(record, now)
+        if len(recent) >= MIN_REPEATING_FLOWS and now >= record.avoided_until:
             record.avoided += 1
             record.avoided_until = now + compute_backoff(
                 AVOID_S, record.avoided, LONGEST_AVOID_S
@@ -122,27 +130,30 @@
         return True
 
     def _is_enough(self, record, recent, away):
-        """Say whether repeats give a target up.
+        """Return whether recent repeats show that a target is silent.
 
-        Few flows lead to a single target of another zone, and each of them
-        would lose a request when that zone is cut off.  Where several of its
-        targets have proved the zone away, one second repeat is enough.
+        An instance has few flows to a single target of another zone, and
+        each of them would lose a request when that zone is cut off.  Once
+        several targets have shown that the zone is unreachable, one second
+        repeat is enough.
         """
         if SECOND_WEIGHT not in recent:
             return False
         if away:
             return True
         instances = {
-            name for (name, _), (_, weight) in record.repeats.items() if weight
+            instance
+            for (instance, _), (_, weight) in record.repeats.items()
+            if weight
         }
         return sum(recent) >= SILENT_WEIGHT and len(instances) >= self.witnesses
 
     def note_answer(self, key, answered_at, told=False):
-        """Note that an answer of a target has shown.
+        """Record that a target has answered.
 
-        :param answered_at: time since which the target has answered, as far
-            as it is known; the past where a caller told of it late.
-        :param told: whether another instance's flows have shown it.
+        :param answered_at: time of the answer; lies in the past if the
+            caller acknowledged it late.
+        :param told: whether another instance reported the answer.
         """
         record = self._records.get(key)
         if record is None:
@@ -159,13 +170,15 @@
             record.silent_until = 0
 
     def find_answer(self, key, now):
-        """Return the age of an answer that shows a target to be alive.
+        """Return the age of a recent answer of a target.
 
-        Only what flows of this instance have shown counts.  If each passed
-        on what it was told, instances would go on telling each other that a
-        target is alive after its last answer, and none would give it up.
+        Only answers that this instance saw itself count.  If instances also
+        passed on reported answers, they would keep confirming to each other
+        that a target is alive long after its last answer, and none of them
+        would give it up.
 
-        :returns: seconds; None if there is none.
+        :returns: seconds; None without an answer in the last
+            :data:`SILENT_S`.
         """
         record = self._records.get(key)
         if record is None or now - record.shown_at >= SILENT_S:
@@ -173,17 +186,17 @@
         return now - record.shown_at
 
     def is_avoided(self, key, now):
-        """Say whether a target should get no new flow now."""
+        """Return whether a target should get no new flow now."""
         record = self._records.get(key)
         return record is not None and now < record.avoided_until
 
     def is_silent(self, key, now):
-        """Say whether a target answers nobody any more."""
+        """Return whether a target counts as silent."""
         record = self._records.get(key)
         return record is not None and now < record.silent_until
 
     def take_probe(self, key, now):
-        """Say whether a silent target may get a packet now; that counts."""
+        """Return whether a silent target may get a probe, and use it up."""
         record = self._records[key]
         if now < record.probe_at:
             return False
@@ -191,27 +204,27 @@
         return True
 
     def clear(self):
-        """Forget all that was noted, as after a standstill of our own."""
+        """Discard all evidence, for example after a stall of this process."""
         self._records = {}
 
     def forget(self, key):
-        """Forget what was noted of one target."""
+        """Discard the evidence about one target."""
         self._records.pop(key, None)
 
     def keep(self, keys):
-        """Forget all targets but these."""
+        """Discard the evidence about all targets but these."""
         for key in self._records.keys() - keys:
             self._records.pop(key)
 
 
-def _weigh(again, opening):
+def _compute_weight(again, opening):
     if opening:
         return OPENING_WEIGHT
     return SECOND_WEIGHT if again else FIRST_WEIGHT
 
 
-def _list_recent(record, now):
-    """Return the weights of repeats that still count, and drop the others."""
+def _prune_repeats(record, now):
+    """Drop expired repeats and return the weights of the others."""
     oldest = now - WINDOW_S
     record.repeats = {
         flow: (at, weight)
@@ -221,16 +234,17 @@
     return [weight for _, weight in record.repeats.values()]
 
 
-def select_pool(pools, everybody):
-    """Choose the targets that a new flow may open on.
+def select_pool(pools, fallback):
+    """Choose the targets on which a new flow may open.
 
-    When all look bad the fault is more likely on our side or the callers'
-    network; turning every flow away would be certain loss.
+    If all targets look bad, the fault is more likely in this instance or in
+    the callers' network, and refusing every flow would lose them for
+    certain.
 
-    :param pools: lists of targets that are trusted, the best list first.
-    :param everybody: targets to take if all lists are empty.
+    :param pools: lists of trusted targets, in order of preference.
+    :param fallback: targets to use if all lists are empty.
     """
     for pool in pools:
         if pool:
             return pool
-    return everybody
+    return fallback
