--- a/cornelgap/decisions/path_loss.py
+++ b/cornelgap/decisions/path_loss.py
@@ -1,78 +1,82 @@
-"""Whether packets are lost on the way through this instance itself.
-
-Load pattern: callers press until the link of a small instance is full, or a
-network loses packets of everybody.  Callers then repeat to every target, and
-for a target with few flows it looks as if it answered nobody any more.
-Judged by that, targets that serve are given up one after the other, and the
-flows that they hold are reset.
-
-A repeat that is followed by an answer of its target was lost on the way, or
-was late: the target lives.  One here and there is chance; where a part of
-all requests needs them, at several targets, the cause is what these have in
-common.  Work that takes longer than a caller waits brings a first repeat,
-too; but a live target confirms that one at once, so a second one, or an
-answer long after it, speaks of the way.
-
-A target that has crashed answers no repeat and changes nothing here.  What
-callers repeat to a zone that is cut off is answered when it is back, and says
-nothing of the way here.
+"""Detects packet loss on the path through this instance itself.
+
+Load pattern: callers send until the link of a small instance is full, or a
+network loses packets of all callers.  Callers then repeat (retransmit) to
+every target, and a target with few flows looks as if it had stopped
+answering.  Without this check, working targets would be given up one after
+the other, and their flows reset.
+
+If a target answers after a repeat, it is alive, and the packet was lost on
+the path or late.  A few such repeats are chance.  If a share of all requests
+needs them, at several targets, the cause is what these targets share: the
+path.  Work that takes longer than a caller waits also causes a first repeat,
+but a live target confirms that one at once.  A second repeat, or an answer
+long after the first, therefore points to the path.
+
+A target that has crashed answers no repeat and does not count here.  Repeats
+to a zone that is cut off are answered once it is reachable again, and tell
+nothing about the path of this instance; see
+:meth:`PathLoss.forget_repeats`.
 """
 
 from collections import Counter, deque
 from heapq import heappop, heappush
 
 WINDOW_S = 1.0
-"""Span in which requests and their repeats are counted; it slides."""
+"""Sliding window in which requests and their repeats are counted."""
 
-LOST_SHARE = 0.1
-"""Repeats for each request from which on a way is lossy.  With fewer lost
-packets, some request to each target is answered between two repeats."""
+MIN_REPEAT_RATIO = 0.1
+"""Repeats per request from which on the path is lossy.  With fewer lost
+packets, some request to each target is answered between two repeats, so no
+target looks silent."""
 
-LEAST_REPEATS = 8
-LEAST_TARGETS = 4
-"""Repeats, and targets that they went to, below which it may be chance or
+MIN_REPEATS = 8
+MIN_TARGETS = 4
+"""Repeats, and targets that they went to.  Fewer may be due to chance or to
 the targets themselves."""
 
 LATE_S = 0.2
-"""Time from a repeat to the answer from which on the repeat was late itself:
-less is work that went on a little beyond the first repeat."""
+"""Time from a repeat to its answer from which on the repeat itself was
+delayed or lost.  A shorter time is work that ended soon after the first
+repeat."""
 
 SURE_SHARE = 0.05
 LEAST_SURE = 2
-"""Of all repeats, those that came again or were answered late, below which
-the others may be due to long work.  Where a tenth of all packets is lost, a
-tenth of the repeats is."""
+"""Share and number of the repeats that must be second repeats or answered
+late.  With fewer, the others may be due to long work.  If a tenth of all
+packets is lost, so is a tenth of the repeats."""
 
 HOLD_S = 2.0
-"""Time for which a way counts as lossy after that: callers repeat after at
-most 1.6 s, so what was lost last shows until then."""
+"""Time for which the path counts as lossy after the last detection.  Callers
+repeat after at most 1.6 s, so the last losses show within this time."""
 
 
 class PathLoss:
-    """What this instance's own flows say of its way; keys name targets.
+    """Loss on the path of this instance, from its own flows; keys are targets.
 
-    Each packet costs the same however many are lost: an instance is busiest
-    just then.  No more is kept than the last :data:`WINDOW_S` has brought.
+    The cost per packet does not grow with the number of lost packets, since
+    an instance is busiest when it loses many.  Only the events of the last
+    :data:`WINDOW_S` are kept.
     """
 
     def __init__(self):
-        """Take the way to be good."""
+        """Start with a path that loses nothing."""
         self._requests = deque()
         self._open_repeats = {}
         self._lost = []
         self._lost_by_target = Counter()
-        self._sure = 0
+        self._confirmed = 0
         self._lossy_until = float('-inf')
 
     def note_request(self, now):
-        """Note that a caller sent a request."""
+        """Record that a caller sent a request."""
         self._requests.append(now)
-        _drop_old(self._requests, now)
+        _drop_expired(self._requests, now)
 
     def note_repeat(self, key, now, again=False):
-        """Note that a caller repeated what it had sent to a target.
+        """Record that a caller repeated a packet to a target.
 
-        :param again: whether it had repeated the same before.
+        :param again: whether the same packet had been repeated before.
         """
         repeats = self._open_repeats.setdefault(key, deque())
         repeats.append((now, again))
@@ -80,67 +84,67 @@
             repeats.popleft()
 
     def note_answer(self, key, answered_at, now):
-        """Note that a target has answered.
+        """Record that a target has answered.
 
-        :param answered_at: time of the answer; the past where a caller told
-            of it late.
+        :param answered_at: time of the answer; lies in the past if a caller
+            acknowledged it late.
         """
         repeats = self._open_repeats.get(key)
         while repeats and repeats[0][0] <= answered_at:
             at, again = repeats.popleft()
-            is_sure = again or answered_at - at >= LATE_S
-            # A heap: they are answered in another order than they came.
-            heappush(self._lost, (at, key, is_sure))
+            is_confirmed = again or answered_at - at >= LATE_S
+            # A heap, as repeats are not answered in the order of arrival.
+            heappush(self._lost, (at, key, is_confirmed))
             self._lost_by_target[key] += 1
-            self._sure += is_sure
+            self._confirmed += is_confirmed
         if repeats is not None and not repeats:
             self._open_repeats.pop(key)
-        if self._is_losing(now):
+        if self._is_losing_packets(now):
             self._lossy_until = now + HOLD_S
 
     def forget_repeats(self):
-        """Forget repeats without an answer, as a zone is back."""
+        """Discard unanswered repeats, as a zone is reachable again."""
         self._open_repeats.clear()
 
     def is_lossy(self, now):
-        """Say whether repeats speak of the way rather than of targets."""
+        """Return whether repeats are due to the path and not to targets."""
         return now < self._lossy_until
 
     def clear(self):
-        """Forget all that was noted, as after a standstill of our own."""
+        """Discard all events, for example after a stall of this process."""
         self._requests.clear()
         self._open_repeats.clear()
         self._lost.clear()
         self._lost_by_target.clear()
-        self._sure = 0
+        self._confirmed = 0
         self._lossy_until = float('-inf')
 
     def keep(self, keys):
-        """Forget all targets but these."""
+        """Discard the unanswered repeats of all targets but these."""
         for key in self._open_repeats.keys() - keys:
             self._open_repeats.pop(key)
 
-    def _is_losing(self, now):
-        _drop_old(self._requests, now)
-        self._drop_old_lost(now)
+    def _is_losing_packets(self, now):
+        _drop_expired(self._requests, now)
+        self._drop_expired_lost(now)
         repeats = len(self._lost)
-        if repeats < LEAST_REPEATS:
+        if repeats < MIN_REPEATS:
             return False
-        if repeats < LOST_SHARE * len(self._requests):
+        if repeats < MIN_REPEAT_RATIO * len(self._requests):
             return False
-        if self._sure < max(LEAST_SURE, SURE_SHARE * repeats):
+        if self._confirmed < max(LEAST_SURE, SURE_SHARE * repeats):
             return False
-        return len(self._lost_by_target) >= LEAST_TARGETS
+        return len(self._lost_by_target) >= MIN_TARGETS
 
-    def _drop_old_lost(self, now):
+    def _drop_expired_lost(self, now):
         while self._lost and now - self._lost[0][0] > WINDOW_S:
-            _, key, is_sure = heappop(self._lost)
-            self._sure -= is_sure
+            _, key, is_confirmed = heappop(self._lost)
+            self._confirmed -= is_confirmed
             self._lost_by_target[key] -= 1
             if not self._lost_by_target[key]:
                 self._lost_by_target.pop(key)
 
 
-def _drop_old(times, now):
+def _drop_expired(times, now):
     while times and now - times[0] > WINDOW_S:
         times.popleft()
