--- a/cornelgap/decisions/zone_reach.py
+++ b/cornelgap/decisions/zone_reach.py
@@ -1,44 +1,49 @@
-"""Whether the targets of an availability zone can be reached from here.
-
-Load pattern: a zone is cut off, by the network or by its own power, and all
-its targets fall silent at the same moment.  Judged one by one, each of them
-needs the repeats of several flows, and few flows lead from one zone to a
-single target of another: callers wait one to two seconds for each target,
-and new flows go on opening behind the cut.  Two targets that answer nobody,
-while no other target of the zone answers either, say the same at once.
-
-The verdict keeps new flows away and resets nothing by itself: two of a zone's
-targets may have crashed while the third had nothing to do.  It takes fewer
-repeats then to give up a single target, see ``flow_health``.
+"""Detects availability zones whose targets cannot be reached from here.
+
+Load pattern: a zone is cut off by a network fault, or loses power, and all
+its targets fall silent at the same moment.  Judged separately, each target
+needs the repeats (retransmissions) of several flows, and an instance has few
+flows to a single target of another zone.  Callers would wait one to two
+seconds for each target, and new flows would still open in the unreachable
+zone.  Two silent targets, while no other target of the zone answers, are
+enough to conclude that the whole zone is unreachable ("away").
+
+This only keeps new flows out of the zone and resets none: two of its targets
+may have crashed while the third had no traffic.  A single target of the zone
+is given up after fewer repeats, though; see ``flow_health``.
 """
 
 from msgspec import Struct, field
 
 SILENT_TARGETS = 2
-"""Targets of a zone with a second repeat each.  A live target confirms a
-repeated packet at once, so a second repeat means a lost way or target."""
+"""Targets of a zone that must have a second repeat each.  A live target
+confirms a repeated packet at once, so after a second repeat either the path
+or the target has failed."""
 
 WINDOW_S = 1.0
 """Age up to which a second repeat counts; see ``flow_health``."""
 
 ANSWER_S = 0.4
-"""Time without one answer of the whole zone.  A caller repeats twice in
-0.6 s; in that time some flow of a zone that is in reach is answered."""
+"""Time without any answer from the whole zone.  A caller repeats twice in
+0.6 s; in that time, a reachable zone answers at least one of its flows."""
 
 PROBE_S = 1.0
-"""Pause between two new flows that may open in the zone all the same, for
-all instances of an availability zone together.  Each costs its caller 0.2 s
-if the zone is still away; without them nobody would notice that it is back
-once all flows have left.  One for each instance would grow with instances
-times zones."""
+"""Interval at which one new flow may open in an unreachable zone as a probe,
+for all instances of an availability zone together.  A probe costs its caller
+0.2 s if the zone is still unreachable.  Without probes, no instance would
+notice the recovery once all flows have left the zone.  With a probe of each
+instance, their number would grow with instances times zones."""
 
 
 class _Zone(Struct):
-    """What flows say of one zone since its last answer.
-
-    :param repeats: tuple (target, instance) to the time of its last second
-        repeat.
-    :param away_since: when it was found away; None while it is in reach.
+    """Evidence about one zone since its last answer.
+
+    :param repeats: time of the last second repeat by tuple
+        (target, instance).
+    :param answered_at: time of the last answer of any of its targets.
+    :param away_since: when it was found unreachable; None while it is
+        reachable.
+    :param probe_at: when this instance may open its next probe there.
     """
 
     repeats: dict = field(default_factory=dict)
@@ -48,25 +53,27 @@
 
 
 class ZoneReach:
-    """What flows say of each availability zone.
+    """Tracks which availability zones are reachable.
 
-    :ivar witnesses: instances whose flows must speak against a zone.
-    :ivar instances: instances of the own zone that take turns at probing.
+    :ivar witnesses: number of instances that must see repeats before a zone
+        counts as unreachable.
+    :ivar instances: number of instances of the own zone that take turns to
+        probe.
     :ivar rank: how many of these probe before this one.
     """
 
     def __init__(self):
-        """Take all zones to be in reach."""
+        """Start with all zones reachable."""
         self._zones = {}
         self.witnesses = 1
         self.instances = 1
         self.rank = 0
 
     def note_repeat(self, zone, target, instance, now):
-        """Note that a caller repeated for the second time.
+        """Record a caller's second repeat.
 
-        :param target: name of the target that did not answer.
-        :param instance: name of the instance that saw it.
+        :param target: the target that did not answer.
+        :param instance: name of the instance that saw the repeat.
         """
         record = self._zones.setdefault(zone, _Zone())
         record.repeats[target, instance] = now
@@ -76,27 +83,33 @@
             if now - at <= WINDOW_S
         }
         targets = {silent for silent, _ in record.repeats}
-        instances = {witness for _, witness in record.repeats}
-        enough = len(targets) >= SILENT_TARGETS
-        seen = len(instances) >= self.witnesses
-        quiet = now - record.answered_at >= ANSWER_S
-        if enough and seen and quiet and record.away_since is None:
+        instances = {reporter for _, reporter in record.repeats}
+        enough_targets = len(targets) >= SILENT_TARGETS
+        enough_instances = len(instances) >= self.witnesses
+        unanswered = now - record.answered_at >= ANSWER_S
+        if (
+            enough_targets
+            and enough_instances
+            and unanswered
+            and record.away_since is None
+        ):
             record.away_since = now
             record.probe_at = now + PROBE_S * (1 + self.rank)
 
     def note_answer(self, zone, answered_at):
-        """Note when a target of a zone has answered.
+        """Record that a target of a zone has answered.
 
-        :param answered_at: time of the answer; the past where a caller told
-            of it late, so that later repeats still count.
-        :returns: since when the zone was away if it is back now, or None.
+        :param answered_at: time of the answer; lies in the past if a caller
+            acknowledged it late, and repeats after it still count.
+        :returns: since when the zone was unreachable if this answer shows
+            that it has recovered, else None.
         """
         record = self._zones.setdefault(zone, _Zone())
         if answered_at <= record.answered_at:
             return None
         record.answered_at = answered_at
-        newest = max(record.repeats.values(), default=float('-inf'))
-        if newest > answered_at:
+        last_repeat_at = max(record.repeats.values(), default=float('-inf'))
+        if last_repeat_at > answered_at:
             return None
         record.repeats.clear()
         away_since = record.away_since
@@ -104,12 +117,12 @@
         return away_since
 
     def is_away(self, zone):
-        """Say whether a zone is away."""
+        """Return whether a zone is unreachable."""
         record = self._zones.get(zone)
         return record is not None and record.away_since is not None
 
     def take_probe(self, zone, now):
-        """Say whether a new flow may open in a zone that is away."""
+        """Return whether a flow may open as a probe, and use the turn up."""
         record = self._zones[zone]
         if now < record.probe_at:
             return False
@@ -117,9 +130,9 @@
         return True
 
     def list_away(self):
-        """Return the names of zones that are away, in order."""
+        """Return the names of unreachable zones, sorted."""
         return sorted(zone for zone in self._zones if self.is_away(zone))
 
     def clear(self):
-        """Forget all that was noted, as after a standstill of our own."""
+        """Discard all evidence, for example after a stall of this process."""
         self._zones = {}
