--- a/cornelgap/decisions/withdrawal.py
+++ b/cornelgap/decisions/withdrawal.py
@@ -1,17 +1,19 @@
-"""Whether an availability zone that cannot serve leaves the rotation.
+"""Decides whether a zone that cannot serve is withdrawn from rotation.
 
 Load pattern: operators drain a zone, or all its targets are lost, and then
-it is cut off from the other zones while its callers still reach it.  Nothing
-may be opened at home and nothing is in reach elsewhere.  Callers repeat a
-refused opening at once, so all their tries are gone within milliseconds, for
-as long as the cut lasts; instances of other zones could serve all of them.
-
-Routers use all instances of a zone while any is in rotation, and those of
-other zones when none is.  So a zone leaves as a whole or not at all, and the
-sums of the whole zone decide.  Flows that are open on the zone's targets
-cannot be reached from elsewhere and are given up with it; they weigh against
-what cannot be opened.  A cut that comes and goes must not make routers swap
-back and forth: each return makes the next withdrawal need more evidence.
+it is cut off from the other zones while its callers still reach it.  No flow
+may open on its own targets, and no other zone is reachable.  Callers retry a
+refused opening at once, so all their tries are used up within milliseconds,
+for as long as the cut lasts.  Instances of other zones could serve all of
+these callers.
+
+Routers use all instances of a zone while any of them is in rotation, and
+those of other zones when none is.  So a zone is withdrawn as a whole or not
+at all, by the totals over all its instances.  Open flows on the zone's
+targets cannot be reached through another zone and are lost on withdrawal, so
+they count against the openings that cannot be served.  An intermittent cut
+must not make routers switch back and forth: after each return, the next
+withdrawal takes longer.
 """
 
 from collections import deque
@@ -21,50 +23,55 @@
 from cornelgap.decisions.backoff import compute_backoff
 
 SPAN_S = 1.0
-"""Span over which openings and served flows are counted."""
+"""Window in which openings and served flows are counted."""
 
-EVIDENCE_S = 0.5
-"""Time for which a zone must be unable to serve.  Callers that are refused
-have lost their request; a longer wait loses more of them."""
+UNSERVED_S = 0.5
+"""Time for which a zone must be unable to serve before it is withdrawn.  Each
+refused caller has lost its request, so a longer wait loses more requests."""
 
-LONGEST_EVIDENCE_S = 16.0
+LONGEST_UNSERVED_S = 16.0
 
 UNDECIDED_S = 1.5
-"""Longest time for which callers are kept waiting for a verdict; a first
-withdrawal comes within it.  One that takes longer may never come, and callers
-are better told at once."""
+"""Longest time for which callers wait for the decision; a first withdrawal is
+decided within it.  One that takes longer may never be made, and callers are
+better refused at once."""
 
 CALM_S = 60.0
-"""Time for which a return makes the next withdrawal need more evidence."""
+"""Time for which a return to rotation makes the next withdrawal take
+longer."""
 
 QUIET_S = 1.8
-"""Silence of the zones beyond the cut.  Their hubs send a beat every 1 to
-1.5 s; a zone whose instances are heard has lost its targets, not its links,
-and could not serve either."""
+"""Time without a beat from the zones beyond the cut, before a withdrawal.
+Their hubs send one every 1 to 1.5 s.  A zone whose beats still arrive has
+lost its targets and not its links, and could not serve either."""
 
 HOLD_S = 3.0
-"""Shortest stay outside.  Routers need up to a second to let go, and callers
-up to 1.4 s to end the attempts that were lost meanwhile."""
+"""Shortest time out of rotation.  Routers take up to a second to stop using a
+zone, and callers up to 1.4 s to end the attempts that were lost by then."""
 
-LONGEST_S = 60.0
-"""Longest stay without any sign that the cut is over.  The signs may be lost
-themselves; a return that comes too early costs about two seconds."""
+LONGEST_WITHDRAWN_S = 60.0
+"""Longest time out of rotation without any sign that the cut is over.  The
+signs themselves may be lost; a return that comes too early costs about two
+seconds."""
 
 TRIES = 3
-"""Openings of one request that is lost: the first one and two tries."""
+"""Openings that a caller sends for one lost request: the first and two
+retries."""
 
-WITNESSED = 3
-"""Instances from which on two must have openings that they cannot serve."""
+LARGE_ZONE_INSTANCES = 3
+"""Size of a zone, in instances, from which on at least two of them must have
+openings that they cannot serve."""
 
 
 class Sight(Struct, frozen=True):
-    """What one instance has seen in the last :data:`SPAN_S`.
+    """What one instance counted in the last :data:`SPAN_S`.
 
-    :param placed: openings that found a target in reach.
+    :param placed: openings that were placed on a reachable target.
     :param unserved: openings for which all targets lie beyond a cut.
-    :param served: open flows on targets that have answered, and openings
-        that no other zone can serve, these times :data:`TRIES`.
-    :param beyond: names of zones beyond the cut that could have served.
+    :param served: open flows on targets that have answered, plus
+        :data:`TRIES` times the openings that no other zone can serve.
+    :param beyond: names of zones beyond the cut that could have served the
+        unserved openings.
     """
 
     placed: int = 0
@@ -74,13 +81,13 @@
 
 
 class Situation(Struct, frozen=True):
-    """What is known of a zone at one moment.
+    """Input of a decision on one zone.
 
-    :param sights: :class:`Sight` by instance, of those for which zones are
-        away.
-    :param instances: instances that the zone had in the last minute; 0 while
-        that is not known.
-    :param heard_at: when another zone's instances were heard last, by zone.
+    :param sights: :class:`Sight` by instance, of the instances that cannot
+        reach some other zone.
+    :param instances: number of instances that the zone had in the last
+        minute; 0 while it is not known.
+    :param heard_at: time of the last beat from another zone, by zone.
     :param others: names of other zones whose targets may take new flows.
     :param home: names of the own zone's targets that may take new flows.
     """
@@ -93,10 +100,10 @@
 
 
 class Totals(Struct, frozen=True):
-    """Sums of a zone's sights.
+    """Totals over the instances of a zone; see :class:`Sight`.
 
-    :param opening: instances that got an opening.
-    :param witnesses: instances that could not serve one.
+    :param opening: number of instances that received an opening.
+    :param witnesses: number of instances that could not serve one.
     """
 
     placed: int
@@ -108,7 +115,7 @@
 
 
 def sum_sights(sights):
-    """Sum up what the instances of a zone have seen."""
+    """Return the :class:`Totals` over the instances of a zone."""
     sights = list(sights)
     beyond = (sight.beyond for sight in sights if sight.unserved)
     return Totals(
@@ -122,12 +129,12 @@
 
 
 def outweighs(totals):
-    """Say whether what cannot be served is worth more than what is given up.
+    """Return whether a withdrawal would save more than it loses.
 
-    One lost request makes up to three openings, and a zone stays outside for
-    three seconds at least; so openings of one second compare with open flows
-    one to one.  Openings that are placed here and that another zone could
-    place too are not given up.
+    One lost request causes up to three openings, and a zone stays out of
+    rotation for at least three seconds, so the openings of one second compare
+    one to one with open flows.  Openings placed here do not count as lost if
+    another zone could place them too.
     """
     if totals.unserved < TRIES:
         return False
@@ -135,39 +142,45 @@
 
 
 def list_serving(beyond, others):
-    """Return the zones that serve while this one is out of rotation.
+    """Return the zones that can serve while this one is out of rotation.
 
-    :param beyond: zones for whose targets openings have asked.
+    :param beyond: zones that the unserved openings could have used.
     :param others: as in :class:`Situation`.
     """
     return beyond & others
 
 
 def is_witnessed(totals, reports, instances):
-    """Say whether the zone speaks, and not a few of its instances.
+    """Return whether enough instances of the zone agree on the cut.
 
-    :param reports: instances for which zones are away.
+    More than half of all instances must report an unreachable zone, and more
+    than half of those that received openings must have unserved ones.
+
+    :param reports: number of instances that cannot reach some other zone.
     :param instances: as in :class:`Situation`.
     """
     if 2 * reports <= instances or not instances:
         return False
-    if instances >= WITNESSED and totals.witnesses < 2:
+    if instances >= LARGE_ZONE_INSTANCES and totals.witnesses < 2:
         return False
     return 2 * totals.witnesses > totals.opening
 
 
 class Withdrawal:
-    """The verdict on one zone, and what it was made from.
+    """Decision on one zone, with the evidence that it rests on.
 
     :ivar withdrawn: whether the zone is to be out of rotation.
-    :ivar changed_at: when that began; minus infinity if nobody has said.
-    :ivar beyond: names of the zones that serve meanwhile.
-    :ivar why: what made the last change.
-    :ivar undecided: whether the zone cannot serve and may leave shortly.
+    :ivar changed_at: time of the last change; minus infinity if no decision
+        is known.
+    :ivar beyond: names of the zones that serve while this one is withdrawn.
+    :ivar why: cause of the last change, as the log shows it.
+    :ivar undecided: whether the zone cannot serve and may be withdrawn within
+        :data:`UNDECIDED_S`.
+    :ivar totals: the :class:`Totals` of the last decision.
     """
 
     def __init__(self):
-        """Stay in rotation."""
+        """Start in rotation."""
         self.withdrawn = False
         self.changed_at = float('-inf')
         self.beyond = frozenset()
@@ -176,14 +189,14 @@
         self.totals = sum_sights(())
         self._unserved_since = None
         self._decided_at = float('-inf')
-        self._home = None
+        self._local_targets = None
         self._returns = deque()
 
     def decide(self, situation, now):
-        """Decide by what is known now.
+        """Decide whether the zone is withdrawn or returns.
 
         :param situation: :class:`Situation`.
-        :returns: whether the verdict has changed.
+        :returns: whether the decision has changed.
         """
         self.totals = sum_sights(situation.sights.values())
         self.undecided = False
@@ -191,41 +204,45 @@
         if self.withdrawn:
             why = self._find_return(situation, now)
             if why:
-                self._change(False, now, why)
+                self._set_withdrawn(False, now, why)
             return not self.withdrawn
         beyond = list_serving(self.totals.beyond, situation.others)
-        if not self._is_due(situation, beyond, now):
+        if not self._is_withdrawal_due(situation, beyond, now):
             return False
         self.beyond = beyond
-        self._home = situation.home
-        self._change(True, now, 'unserved')
+        self._local_targets = situation.home
+        self._set_withdrawn(True, now, 'unserved')
         return True
 
     def adopt(self, withdrawn, changed_at, beyond):
-        """Take over a verdict that another instance has made."""
+        """Adopt the decision of another instance."""
         self.beyond = beyond
-        self._home = None
-        self._change(withdrawn, changed_at, 'told')
+        self._local_targets = None
+        self._set_withdrawn(withdrawn, changed_at, 'told')
 
     def forget_evidence(self):
-        """Forget since when the zone cannot serve, as another one decides."""
+        """Discard the evidence of the current cut.
+
+        An instance that does not decide calls this, so that it starts without
+        old evidence once it does.
+        """
         self._unserved_since = None
         self.undecided = False
 
     def forget(self):
-        """Return to the state in which nobody has said anything."""
+        """Discard a decision that no instance confirms any more."""
         self.withdrawn = False
         self.changed_at = float('-inf')
         self.why = 'unconfirmed'
         self.forget_evidence()
 
     def _note_turn(self, now):
-        """Forget the evidence of before a standstill of the process."""
+        """Discard evidence from before a stall of this process."""
         if now - self._decided_at > SPAN_S:
             self.forget_evidence()
         self._decided_at = now
 
-    def _change(self, withdrawn, changed_at, why):
+    def _set_withdrawn(self, withdrawn, changed_at, why):
         if self.withdrawn and not withdrawn:
             self._returns.append(changed_at)
         self.withdrawn = withdrawn
@@ -233,7 +250,7 @@
         self.why = why
         self.forget_evidence()
 
-    def _is_due(self, situation, beyond, now):
+    def _is_withdrawal_due(self, situation, beyond, now):
         reports = len(situation.sights)
         enough = outweighs(self.totals) and is_witnessed(
             self.totals, reports, situation.instances
@@ -244,30 +261,30 @@
         if self._unserved_since is None:
             self._unserved_since = now
         unserved_s = now - self._unserved_since
-        needed_s = self._compute_needed(now)
-        self.undecided = needed_s == EVIDENCE_S and unserved_s < UNDECIDED_S
-        if unserved_s < needed_s:
+        required_s = self._compute_required(now)
+        self.undecided = required_s == UNSERVED_S and unserved_s < UNDECIDED_S
+        if unserved_s < required_s:
             return False
         return not _list_heard(situation, beyond, now - QUIET_S)
 
-    def _compute_needed(self, now):
-        """Return for how long the zone must be unable to serve, seconds."""
+    def _compute_required(self, now):
+        """Return for how many seconds the zone must be unable to serve."""
         while self._returns and now - self._returns[0] > CALM_S:
             self._returns.popleft()
         return compute_backoff(
-            EVIDENCE_S, len(self._returns) + 1, LONGEST_EVIDENCE_S
+            UNSERVED_S, len(self._returns) + 1, LONGEST_UNSERVED_S
         )
 
     def _find_return(self, situation, now):
-        """Return why the zone can serve again, or an empty text."""
+        """Return why the zone returns to rotation, or an empty string."""
         if not list_serving(self.beyond, situation.others):
             return 'no_other_zone'
-        if self._home is None:
-            self._home = situation.home
-        outside_s = now - self.changed_at
-        if outside_s < HOLD_S:
+        if self._local_targets is None:
+            self._local_targets = situation.home
+        withdrawn_s = now - self.changed_at
+        if withdrawn_s < HOLD_S:
             return ''
-        if situation.home - self._home:
+        if situation.home - self._local_targets:
             return 'targets_at_home'
         if _list_heard(situation, self.beyond, now - QUIET_S):
             return 'zone_heard'
@@ -275,11 +292,11 @@
             return 'zones_in_reach'
         if self.totals.placed and not self.totals.unserved:
             return 'openings_placed'
-        return 'no_sign' if outside_s >= LONGEST_S else ''
+        return 'no_sign' if withdrawn_s >= LONGEST_WITHDRAWN_S else ''
 
 
 def _list_heard(situation, zones, since):
-    """Return the zones of which an instance was heard later than a time."""
+    """Return the zones from which a beat has come after a time."""
     return [
         zone
         for zone in zones
