--- a/cornelgap/decisions/target_outliers.py
+++ b/cornelgap/decisions/target_outliers.py
@@ -1,18 +1,18 @@
-"""Whether a target fails more of its requests than its peers do.
-
-Load pattern: a target goes on answering some callers and swallows, delays or
-refuses the requests of others, while its health endpoint says well.  Any
-answer proves that it is alive, so ``flow_health`` trusts it again after each
-one; a fifth of a service's targets that fail every second request then cost
-a tenth of all requests for as long as it lasts, though the other targets
-have room for all of them.
-
-A target is compared with all others of its service by the share of requests
-that failed, as counted by all instances of a zone together.  What harms all
-of them alike, as a network that loses packets or a slow instance of ours
-does, raises the median and makes nobody stand out.  A target that is merely
-full fails requests too, but then those that it serves have waited in its
-queue; taken away, its load would run down the next one.
+"""Detects targets that fail more of their requests than their peers.
+
+Load pattern: a target still answers some callers but drops, delays or
+refuses the requests of others, while its health endpoint reports it healthy.
+Any answer proves that it is alive, so ``flow_health`` clears it after each
+one.  If a fifth of a service's targets fail every second request, a tenth of
+all requests fails for as long as this lasts, although the other targets have
+capacity for all of them.
+
+A target is compared with the other targets of its service by the share of
+failed requests, as counted by all instances of a zone together.  A fault that
+affects all targets alike, such as a lossy network or a slow instance, raises
+the median and makes no target an outlier.  A target that is merely full fails
+requests too, but then the requests that it serves have waited in its queue.
+It is not avoided, as its load would overload the next target.
 """
 
 import math
@@ -25,36 +25,41 @@
 
 WINDOW_S = 3.0
 """Age up to which outcomes count.  A target serves some tens of requests in
-that, enough to tell a half that fails from a few lost packets."""
+this time, enough to tell a failure rate of one half from a few lost
+packets."""
 
 SPREAD = 4.0
-"""Standard deviations above the peers' share, of a count that chance makes,
-with one failure more in the variance since the median of few is rough: where
-the peers have none, five failures.  With fewer deviations, judged again and
-again, chance takes targets away while all of a service fail alike."""
+"""Standard deviations by which failures must exceed the number expected from
+the median of the peers.  The variance is that of a random (Poisson) count,
+plus one failure, since the median of a few peers is inexact: if the peers
+have no failures, a target needs five.  With fewer deviations, chance alone
+makes outliers over many checks when all targets of a service fail alike."""
 
-LEAST_REQUESTS = 4
-"""Requests from which on the share of a peer counts for the median."""
+MIN_REQUESTS = 4
+"""Requests that a target needs before its share of failures is used."""
 
 AVOID_S = 2.0
 LONGEST_AVOID_S = 8.0
-"""Time without new flows, doubled each time that the target stands out again
-soon after; then new flows show whether it serves."""
+"""Time without new flows, doubled each time that the target becomes an
+outlier again within :data:`BACKOFF_RESET_S`.  New flows after it show whether the
+target has recovered."""
 
-FORGIVE_S = 10.0
-"""Time without standing out after which the next time counts as the first."""
+BACKOFF_RESET_S = 10.0
+"""Time after which the doubling starts anew, counted from the end of the last
+avoidance."""
 
 MOST_SHARE = 0.34
-"""Share of a service's targets that may be avoided at a time.  The others
-must carry their load, and more of them rarely fail alone."""
+"""Largest share of a service's targets that may be avoided at a time.  The
+others must carry their load, and if more targets fail, the cause is rarely
+the targets themselves."""
 
 
 class Outcomes(Struct):
-    """How requests to one target have ended.
+    """Numbers of requests to one target, by how they ended.
 
-    :param prompt: served about as fast as usual on their route.
-    :param slow: served, but later.
-    :param failed: not served, or not within a time that is far from usual.
+    :param prompt: served about as fast as usual for their route.
+    :param slow: served, but slower than that.
+    :param failed: not served, or far slower than usual.
     """
 
     prompt: int = 0
@@ -67,73 +72,75 @@
         return self.prompt + self.slow + self.failed
 
     def add(self, other):
-        """Add the requests of another instance or time."""
+        """Add the counts of another instance or period."""
         self.prompt += other.prompt
         self.slow += other.slow
         self.failed += other.failed
 
 
 class _Record(Struct):
-    """What is known of one target.
+    """State of one target.
 
-    :param told: tuples (time, :class:`Outcomes`), oldest first.
+    :param recent: tuples (time, :class:`Outcomes`), oldest first.
+    :param avoided_until: until when the target gets no new flow.
+    :param avoided: how often in a row it was avoided; sets the backoff.
     """
 
-    told: deque = field(default_factory=deque)
+    recent: deque = field(default_factory=deque)
     avoided_until: float = float('-inf')
     avoided: int = 0
 
 
 class TargetOutliers:
-    """Compares targets by their outcomes; keys are any hashable names."""
+    """Compares the outcomes of targets; keys are any hashable names."""
 
     def __init__(self):
-        """Trust everybody."""
+        """Start with no outcomes and no outliers."""
         self._records = {}
 
     def note_outcomes(self, key, outcomes, now):
-        """Note how requests to a target have ended since the last time."""
+        """Record how requests to a target ended since the last call."""
         record = self._records.setdefault(key, _Record())
-        record.told.append((now, outcomes))
+        record.recent.append((now, outcomes))
 
     def judge(self, keys, now):
-        """Judge the targets of one service by what was noted.
+        """Find the outliers among the targets of one service.
 
         :param keys: the keys of all its targets.
-        :returns: keys of those that are avoided from now on.
+        :returns: keys of the targets that are avoided from now on.
         """
         sums = {
-            key: self._sum(self._records[key], now)
+            key: self._sum_recent(self._records[key], now)
             for key in keys
             if key in self._records
         }
         shares = {
-            key: found.failed / found.total
-            for key, found in sums.items()
-            if found.total >= LEAST_REQUESTS
+            key: outcomes.failed / outcomes.total
+            for key, outcomes in sums.items()
+            if outcomes.total >= MIN_REQUESTS
         }
         if len(shares) < 2:
             return []
         ordered = sorted(shares.values())
-        room = MOST_SHARE * len(keys)
-        room -= sum(self.is_avoided(key, now) for key in keys)
-        chosen = []
+        allowed = MOST_SHARE * len(keys)
+        allowed -= sum(self.is_avoided(key, now) for key in keys)
+        outliers = []
         for key in sorted(shares, key=shares.get, reverse=True):
-            if len(chosen) + 1 > room:
+            if len(outliers) + 1 > allowed:
                 break
-            usual = find_median_without(ordered, shares[key])
-            if stands_out(sums[key], usual) and not self.is_avoided(key, now):
+            median = find_median_without(ordered, shares[key])
+            if stands_out(sums[key], median) and not self.is_avoided(key, now):
                 self._avoid(self._records[key], now)
-                chosen.append(key)
-        return chosen
+                outliers.append(key)
+        return outliers
 
     def is_avoided(self, key, now):
-        """Say whether a target should get no new flow now."""
+        """Return whether a target should get no new flow now."""
         record = self._records.get(key)
         return record is not None and now < record.avoided_until
 
     def list_avoided(self, now):
-        """Return the keys of targets that get no new flow now."""
+        """Return the keys of targets that should get no new flow now."""
         return [
             key
             for key, record in self._records.items()
@@ -141,44 +148,44 @@
         ]
 
     def clear(self):
-        """Forget all that was noted, as after a standstill of our own."""
+        """Discard all outcomes, for example after a stall of this process."""
         self._records = {}
 
     def forget(self, key):
-        """Forget what was noted of one target."""
+        """Discard the state of one target."""
         self._records.pop(key, None)
 
     def keep(self, keys):
-        """Forget all targets but these."""
+        """Discard the state of all targets but these."""
         for key in self._records.keys() - keys:
             self._records.pop(key)
 
-    def _sum(self, record, now):
+    def _sum_recent(self, record, now):
         total = Outcomes()
-        while record.told and now - record.told[0][0] > WINDOW_S:
-            record.told.popleft()
-        for _, outcomes in record.told:
+        while record.recent and now - record.recent[0][0] > WINDOW_S:
+            record.recent.popleft()
+        for _, outcomes in record.recent:
             total.add(outcomes)
         return total
 
     def _avoid(self, record, now):
-        if now - record.avoided_until > FORGIVE_S:
+        if now - record.avoided_until > BACKOFF_RESET_S:
             record.avoided = 0
         record.avoided += 1
         record.avoided_until = now + compute_backoff(
             AVOID_S, record.avoided, LONGEST_AVOID_S
         )
-        # It is judged anew by what it does from then on.
-        record.told.clear()
+        # Only outcomes from now on count for the next check.
+        record.recent.clear()
 
 
-def stands_out(outcomes, usual):
-    """Say whether a target fails more than chance and its load explain.
+def stands_out(outcomes, median):
+    """Return whether a target fails more than chance or its load explains.
 
     :param outcomes: its :class:`Outcomes`.
-    :param usual: share of requests that its peers fail.
+    :param median: median share of failed requests of its peers.
     """
-    expected = outcomes.total * usual
+    expected = outcomes.total * median
     if outcomes.failed <= expected + SPREAD * math.sqrt(expected + 1):
         return False
     return not is_full(outcomes)
@@ -188,19 +195,21 @@
     """Return the median of a sorted list without one of its values.
 
     A service may have thousands of targets, and each is compared with all
-    others: sorting them anew for each would hold up packets for seconds.
+    others.  Sorting the others again for each of them would delay packets by
+    seconds.
 
     :param ordered: at least two numbers, ascending.
+    :param value: the value to leave out, once.
     """
-    left_out = bisect_left(ordered, value)
-    rest = len(ordered) - 1
-    lower = (rest - 1) // 2
-    upper = rest // 2
-    lower_value = ordered[lower + (lower >= left_out)]
-    upper_value = ordered[upper + (upper >= left_out)]
+    excluded = bisect_left(ordered, value)
+    count = len(ordered) - 1
+    lower = (count - 1) // 2
+    upper = count // 2
+    lower_value = ordered[lower + (lower >= excluded)]
+    upper_value = ordered[upper + (upper >= excluded)]
     return (lower_value + upper_value) / 2
 
 
 def is_full(outcomes):
-    """Say whether a target serves late what it serves, as a full one does."""
+    """Return whether most served requests were slow, as on a full target."""
     return outcomes.slow > outcomes.prompt
