--- a/cornelgap/decisions/health.py
+++ b/cornelgap/decisions/health.py
@@ -1,9 +1,10 @@
-"""Which targets to trust, judged by outcomes of real requests alone.
+"""Passive health checks: ejects targets whose requests fail.
 
 Load pattern: a broken target answers each request at once with an error.
-It has nothing in flight, so it looks idle and draws ever more work; its own
-health endpoint may still call it healthy.  Outcomes cannot lie: a target
-is ejected for a while when its requests fail, and returns by a few probes.
+It has nothing in flight, so it looks idle and attracts more and more work,
+while its own health endpoint may still report it healthy.  Therefore only
+the outcomes of real requests count.  A target whose requests fail is ejected
+for some time, and is fully trusted again after a few successful probes.
 """
 
 import enum
@@ -12,27 +13,30 @@
 from cornelgap.decisions.averages import Average
 from cornelgap.decisions.ends import CallEnd
 
-_FAILURES_IN_A_ROW = 4
-"""Rare by chance: at 10% failures once in 10,000 requests."""
+_EJECTION_FAILURES = 4
+"""At a failure rate of 10%, chance reaches this once in 10,000 requests."""
 
-_FAIL_SHARE = 0.5
-_SAMPLE_SHARE = 0.1
+_MAX_FAILURE_RATE = 0.5
+_SAMPLE_WEIGHT = 0.1
 _MIN_SAMPLES = 10
-"""For a target that fails every other time, never four times in a row."""
+"""Failure rate that ejects a target, weight of a request in its average, and
+requests needed before it counts.  They catch a target that fails every second
+request, but never four in a row."""
 
 _FIRST_EJECTION_S = 2.0
 _LONGEST_EJECTION_S = 30.0
 _JITTER = 0.2
-"""Six entries must not all return to a target in the same instant."""
+"""Random part of an ejection, either way, so that the six entries do not all
+return to a target at the same moment."""
 
 _PROBES = 3
-"""Good ends that turn a returned target into a trusted one."""
+"""Successful requests after which a returned target is trusted again."""
 
-_BAD_ENDS = frozenset((CallEnd.FAILED, CallEnd.TIMEOUT))
+_FAILURE_ENDS = frozenset((CallEnd.FAILED, CallEnd.TIMEOUT))
 
 
 class HealthState(enum.Enum):
-    """What outcomes say of a target."""
+    """Health of a target according to its outcomes."""
 
     GOOD = 'good'
     EJECTED = 'ejected'
@@ -43,41 +47,47 @@
 class _Record:
     """Outcomes of one target.
 
-    :param in_a_row: failures since the last success.
-    :param probes_left: successes that are missing to be trusted again.
-    :param ejections: ejections without a trusted time between them.
+    :param consecutive_failures: failures since the last success.
+    :param samples: requests since the last ejection.
+    :param failure_rate: average failure rate, 0 to 1.
+    :param ejected_until: end of the last ejection, None without one.
+    :param ejections: ejections in a row, without regaining trust between
+        them; sets the length of the next one.
+    :param probes_left: successes still needed to be trusted again.
     """
 
-    in_a_row: int = 0
+    consecutive_failures: int = 0
     samples: int = 0
-    fails: Average = field(default_factory=lambda: Average(_SAMPLE_SHARE))
+    failure_rate: Average = field(
+        default_factory=lambda: Average(_SAMPLE_WEIGHT)
+    )
     ejected_until: float | None = None
     ejections: int = 0
     probes_left: int = 0
 
 
 class Health:
-    """Outcomes of all targets of one service, as one entry sees them.
+    """Health of all targets of one service, as one entry instance sees it.
 
-    :param rng: generator for jitter.
+    :param rng: random generator for the jitter.
     """
 
     def __init__(self, rng):
-        """Trust everybody: a new entry knows of no failure."""
+        """Start with all targets healthy, as no outcome is known."""
         self._rng = rng
         self._records = {}
 
     def note_end(self, target, now, ended):
-        """Take in the end of one request.
+        """Record how a request to a target ended.
 
-        Shed and cancelled requests say nothing about health: shedding is
-        what a healthy target does when it is full.
+        Shed and cancelled requests do not count: a healthy target sheds
+        requests when it is full.
         """
         record = self._records.setdefault(target, _Record())
         if ended is CallEnd.OK:
-            self._note_good(record)
-        elif ended in _BAD_ENDS:
-            self._note_bad(record, now)
+            self._record_success(record)
+        elif ended in _FAILURE_ENDS:
+            self._record_failure(record, now)
 
     def read_state(self, target, now):
         """Return the :class:`HealthState` of a target."""
@@ -89,48 +99,48 @@
         return HealthState.PROBING if record.probes_left else HealthState.GOOD
 
     def read_returned_at(self, target):
-        """Return when the last ejection ended or ends, None if none did."""
+        """Return the end of the last ejection, or None if there was none."""
         record = self._records.get(target)
         return None if record is None else record.ejected_until
 
     def forget(self, target):
-        """Drop what is known of a target that left the configuration."""
+        """Discard a target that was removed from the configuration."""
         self._records.pop(target, None)
 
-    def _note_good(self, record):
-        record.in_a_row = 0
+    def _record_success(self, record):
+        record.consecutive_failures = 0
         record.samples += 1
-        record.fails.add(0)
+        record.failure_rate.add(0)
         if record.probes_left:
             record.probes_left -= 1
             if not record.probes_left:
                 record.ejections = 0
 
-    def _note_bad(self, record, now):
+    def _record_failure(self, record, now):
         if record.ejected_until is not None and now < record.ejected_until:
-            # Requests sent before the ejection end after it; counting them
-            # would lengthen each ejection to the longest.
+            # Requests sent before the ejection may fail during it; counting
+            # them would extend each ejection to the maximum.
             return
-        record.in_a_row += 1
+        record.consecutive_failures += 1
         record.samples += 1
-        record.fails.add(1)
-        if record.probes_left or _is_bad(record):
+        record.failure_rate.add(1)
+        if record.probes_left or _should_eject(record):
             self._eject(record, now)
 
     def _eject(self, record, now):
         record.ejections += 1
-        length = _FIRST_EJECTION_S * 2 ** (record.ejections - 1)
-        length = min(length, _LONGEST_EJECTION_S)
-        spread = 1 + _JITTER * (2 * self._rng.random() - 1)
-        record.ejected_until = now + length * spread
+        ejection_s = _FIRST_EJECTION_S * 2 ** (record.ejections - 1)
+        ejection_s = min(ejection_s, _LONGEST_EJECTION_S)
+        jitter = 1 + _JITTER * (2 * self._rng.random() - 1)
+        record.ejected_until = now + ejection_s * jitter
         record.probes_left = _PROBES
-        record.in_a_row = 0
+        record.consecutive_failures = 0
         record.samples = 0
-        record.fails = Average(_SAMPLE_SHARE)
+        record.failure_rate = Average(_SAMPLE_WEIGHT)
 
 
-def _is_bad(record):
-    if record.in_a_row >= _FAILURES_IN_A_ROW:
+def _should_eject(record):
+    if record.consecutive_failures >= _EJECTION_FAILURES:
         return True
-    often = record.fails.read(0) > _FAIL_SHARE
-    return often and record.samples >= _MIN_SAMPLES
+    fails_often = record.failure_rate.read(0) > _MAX_FAILURE_RATE
+    return fails_often and record.samples >= _MIN_SAMPLES
