--- a/cornelgap/decisions/ends.py
+++ b/cornelgap/decisions/ends.py
@@ -1,26 +1,27 @@
-"""How a call to a target ended, as far as decisions care.
+"""Defines how a call to a target ended, for the decision modules.
 
-Placement, health and admission all learn from outcomes.  One small enum
-keeps them from reading status codes of a transport, each in its own way.
+Placement, health checks and admission all use the outcomes of calls.  With
+one enum, none of them has to interpret the status codes of the transport,
+each in its own way.
 """
 
 import enum
 
 
 class CallEnd(enum.Enum):
-    """The end of one call to a target."""
+    """Outcome of one call to a target."""
 
     OK = 'ok'
-    """It ran to its end."""
+    """The request was run to completion."""
 
     SHED = 'shed'
-    """The target refused it by contract: it was not run."""
+    """The target refused the request; by contract it was not run."""
 
     FAILED = 'failed'
-    """An error, or the connection was lost."""
+    """The target returned an error, or the connection was lost."""
 
     TIMEOUT = 'timeout'
-    """The deadline passed first."""
+    """The deadline passed before the call ended."""
 
     CANCELLED = 'cancelled'
-    """The caller gave it up; it says nothing about the target."""
+    """The caller cancelled the request; says nothing about the target."""
