--- a/cornelgap/decisions/slowstart.py
+++ b/cornelgap/decisions/slowstart.py
@@ -1,24 +1,26 @@
-"""A cold target's share of work, rising with time.
+"""Slow start: raises the share of work of a cold target over time.
 
 Load pattern: a target joins, or returns after failures, with empty caches.
-It has no flows, so it looks best to all six entries at once; given all new
-work it is slow, times out, and is taken for broken.
+It has no flows, so all six entry instances prefer it at once.  If it received
+all new work, it would be slow, time out and be taken for broken.
 """
 
 _RAMP_S = 10.0
-"""Time to the full share; caches of the users' targets warm in seconds."""
+"""Time until the full share; the caches of the users' targets warm up within
+seconds."""
 
-_FIRST = 0.1
-"""Share at once: enough work to warm up by."""
+_INITIAL_SHARE = 0.1
+"""Share at the start; enough work to warm up the caches."""
 
 
 def compute_share(now, since):
-    """Return the share of work, 0.1 to 1, of a target serving since then.
+    """Return the share of work of a target, 0.1 to 1.
 
     :param now: seconds.
-    :param since: when it joined or returned, seconds; None if long ago.
+    :param since: time at which the target joined or returned, in seconds;
+        None if it has been serving for long.
     """
     if since is None:
         return 1.0
     age = max(0, now - since)
-    return min(1.0, _FIRST + (1 - _FIRST) * age / _RAMP_S)
+    return min(1.0, _INITIAL_SHARE + (1 - _INITIAL_SHARE) * age / _RAMP_S)
