--- a/cornelgap/decisions/overload.py
+++ b/cornelgap/decisions/overload.py
@@ -202,14 +202,14 @@
     return new_shares
 
 
-class Gate:
+class AdmissionGate:
     """Controls the admitted shares of one service.
 
     :param priorities: of the service's requests.
     :ivar shares: admitted share by priority; all 1 while there is room.
     :ivar began_at: start of the present overload, None without one.
     :ivar shed_share: share of sheds at the last step, without errors.
-    :ivar calm: whether targets had room at the last step.
+    :ivar targets_have_room: whether targets had room at the last step.
     :ivar failing: whether the short answers at the last step were errors of
         targets that had room.
     """
@@ -219,7 +219,7 @@
         self.shares = dict.fromkeys(priorities, 1)
         self.began_at = None
         self.shed_share = 0
-        self.calm = self.failing = False
+        self.targets_have_room = self.failing = False
         self._overloaded_steps = 0
         self._capacity_per_s = 0
         self._errors = ErrorShares()
@@ -298,7 +298,9 @@
         self.failing = self._is_failing(tally, span_s, now)
         if self.failing:
             self._errors.measure(tally, now)
-        self.calm = self.failing or (not self.limited and short_share < HIGH)
+        self.targets_have_room = self.failing or (
+            not self.limited and short_share < HIGH
+        )
         corrected = self._errors.subtract_errors(tally, self.failing, now)
         self.shed_share = corrected.sheds / max(1, corrected.answers)
         low, high = find_bounds(self.shares)
--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -11,7 +11,7 @@
 """
 
 from cornelgap.decisions.fair_shares import FairShares
-from cornelgap.decisions.overload import YOUNG_S, Gate
+from cornelgap.decisions.overload import YOUNG_S, AdmissionGate
 from cornelgap.decisions.route_waits import RouteWaits
 from cornelgap.decisions.shed_answers import ShedAnswers
 from cornelgap.forwarding.packets import Drop, Reason, Reset
@@ -32,7 +32,7 @@
 
     def open(self):
         """Admit everything."""
-        self.gate = Gate(sorted(set(self.places.values())))
+        self.gate = AdmissionGate(sorted(set(self.places.values())))
         self.callers = {}
 
     def adopt(self, places):
@@ -128,7 +128,7 @@
         prompt = None
         if not shed:
             waits = self._waits[place]
-            if service.gate.calm:
+            if service.gate.targets_have_room:
                 waits.learn(waited_s)
             prompt = waits.is_prompt(waited_s)
         service.gate.note_answer(
