--- a/cornelgap/decisions/overload.py
+++ b/cornelgap/decisions/overload.py
@@ -56,11 +56,11 @@
 MIN_SHEDS = 10
 """Sheds that are needed for an overload to begin or to grow."""
 
-SIGNS = 2
+MIN_OVERLOADED_STEPS = 2
 """Consecutive steps with too many sheds before an overload begins.  A burst
 that ends within one step leaves nothing to refuse."""
 
-FLOOR = 0.005
+MIN_SHARE = 0.005
 """Share of a priority that is always admitted.  A caller of the least urgent
 priority still gets through now and then, and answers show when there is
 room."""
@@ -76,7 +76,7 @@
 least urgent priority, which takes its room from the least urgent one, and so
 on."""
 
-BUSY = 0.5
+BUSY_SHARE = 0.5
 """Part of the capacity, as last measured at full targets, below which targets
 have room.  Short answers that remain then are errors, and would otherwise
 keep shares from being raised."""
@@ -89,7 +89,7 @@
 MAX_TRIES = 3
 """Times that callers send a request that is shed or refused at once."""
 
-YOUNG_S = 1.0
+STARTUP_S = 1.0
 """Time after a start or standstill in which sheds don't count.  Callers that
 waited during an outage return with their next retransmission, 0.6 s later at
 most; this burst is over before a refusal would help."""
@@ -125,7 +125,7 @@
     """
     ordered = sorted(shares, reverse=True)
     limited = [name for name in ordered if shares[name] < 1]
-    admitted = [name for name in ordered if shares[name] > FLOOR]
+    admitted = [name for name in ordered if shares[name] > MIN_SHARE]
     raised = ordered.index(limited[-1]) if limited else 0
     cut = ordered.index(admitted[0]) if admitted else len(ordered)
     return LOW * (1 + raised), HIGH * (1 + cut)
@@ -159,10 +159,10 @@
         own_demand = (
             answers if priority == least_urgent else demands.get(priority, 0)
         )
-        if answers and share > FLOOR and remaining < own_demand:
+        if answers and share > MIN_SHARE and remaining < own_demand:
             kept = max(remaining / answers, MIN_KEPT_PART)
-            new_shares[priority] = max(share * kept, FLOOR)
-        if remaining > 0 and share > FLOOR:
+            new_shares[priority] = max(share * kept, MIN_SHARE)
+        if remaining > 0 and share > MIN_SHARE:
             break
         # Requests on open flows can't be refused; more urgent priorities
         # are not cut to make room for them.
@@ -234,7 +234,10 @@
 
     @property
     def _is_suspected(self):
-        return not self.limited and 0 < self._overloaded_steps < SIGNS
+        return (
+            not self.limited
+            and 0 < self._overloaded_steps < MIN_OVERLOADED_STEPS
+        )
 
     def set_priorities(self, priorities):
         """Apply the priorities of a newer configuration."""
@@ -259,7 +262,7 @@
     def step(self, now, starting=False):
         """Adjust the admitted shares once in :data:`STEP_S`.
 
-        :param starting: whether sheds don't count yet, see :data:`YOUNG_S`.
+        :param starting: whether sheds don't count yet, see :data:`STARTUP_S`.
         :returns: whether the shares have changed.
         """
         if now < self._next_step_at:
@@ -314,7 +317,7 @@
         if self.shed_share < low:
             self._cut_series = None
         capacity = self._capacity_per_s * span_s
-        busy = tally.served >= BUSY * capacity
+        busy = tally.served >= BUSY_SHARE * capacity
         if self.failing and short_share >= low:
             spare = max(
                 capacity - corrected.answers,
--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -11,7 +11,7 @@
 """
 
 from cornelgap.decisions.fair_shares import FairShares
-from cornelgap.decisions.overload import YOUNG_S, AdmissionGate
+from cornelgap.decisions.overload import STARTUP_S, AdmissionGate
 from cornelgap.decisions.route_waits import RouteWaits
 from cornelgap.decisions.shed_answers import ShedAnswers
 from cornelgap.forwarding.packets import Drop, Reason, Reset
@@ -162,7 +162,7 @@
 
         :returns: what is to be told of services, :class:`dict` of fields.
         """
-        young = self._began_at is None or now - self._began_at < YOUNG_S
+        young = self._began_at is None or now - self._began_at < STARTUP_S
         told = []
         for name, service in self._services.items():
             changed = service.gate.step(now, young)
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -408,7 +408,7 @@
 
 
 def wait_for_no_errors(patches):
-    patches.set_attr(overload, 'BUSY', 0)
+    patches.set_attr(overload, 'BUSY_SHARE', 0)
 
 
 def take_errors_for_sheds(patches):
@@ -418,18 +418,18 @@
 
 
 def count_sheds_at_once(patches):
-    patches.set_attr(admission_control, 'YOUNG_S', 0)
+    patches.set_attr(admission_control, 'STARTUP_S', 0)
 
 
 def believe_first_sign(patches):
-    patches.set_attr(overload, 'SIGNS', 1)
+    patches.set_attr(overload, 'MIN_OVERLOADED_STEPS', 1)
 
 
 def cut_all_alike(patches):
     def cut_shares(shares, tally):
         kept = 1 - tally.sheds / tally.answers
         return {
-            name: max(overload.FLOOR, share * kept)
+            name: max(overload.MIN_SHARE, share * kept)
             for name, share in shares.items()
         }
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -152,7 +152,7 @@
 @then('hypothesis finds no answers that break the bounds of shares')
 def check_bounds(context):
     shares = st.dictionaries(
-        st.integers(0, 3), st.floats(overload.FLOOR, 1), min_size=1
+        st.integers(0, 3), st.floats(overload.MIN_SHARE, 1), min_size=1
     )
     counts = st.dictionaries(st.integers(0, 3), st.integers(0, 500))
 
@@ -168,7 +168,7 @@
             return
         cut = overload.cut_shares(before, tally)
         assert cut.keys() == before.keys()
-        assert all(overload.FLOOR <= cut[one] <= before[one] for one in cut)
+        assert all(overload.MIN_SHARE <= cut[one] <= before[one] for one in cut)
 
     search()
 
