--- a/cornelgap/decisions/shed_answers.py
+++ b/cornelgap/decisions/shed_answers.py
@@ -35,12 +35,12 @@
 """Divisor for such answers instead of :data:`SHORT_DIVISOR`, as regular
 answers may be little longer."""
 
-KEPT_SHORT = 16
+SHORT_KEEP_INTERVAL = 16
 """One of this many short answers is kept.  If the answers of a route become
 short permanently, they are the usual ones after about a thousand."""
 
 
-class ShedAnswers:
+class ShedAnswerDetector:
     """Usual size and wait of one route's answers."""
 
     def __init__(self):
@@ -66,7 +66,7 @@
         short = self._is_short(size)
         if short:
             self._short_count += 1
-        if not short or self._short_count % KEPT_SHORT == 0:
+        if not short or self._short_count % SHORT_KEEP_INTERVAL == 0:
             self._keep(size, waited_s)
         return short
 
--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -13,7 +13,7 @@
 from cornelgap.decisions.fair_shares import FairShares
 from cornelgap.decisions.overload import STARTUP_S, AdmissionGate
 from cornelgap.decisions.route_waits import RouteWaits
-from cornelgap.decisions.shed_answers import ShedAnswers
+from cornelgap.decisions.shed_answers import ShedAnswerDetector
 from cornelgap.forwarding.packets import Drop, Reason, Reset
 
 ENABLED = True
@@ -122,7 +122,7 @@
             return
         usual = self._usual.get(place)
         if usual is None:
-            usual = self._usual[place] = ShedAnswers()
+            usual = self._usual[place] = ShedAnswerDetector()
             self._waits[place] = RouteWaits()
         shed = usual.note_answer(size, waited_s)
         prompt = None
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -445,19 +445,19 @@
 
 
 def keep_all_sheds(patches):
-    patches.set_attr(shed_answers, 'KEPT_SHORT', 1)
+    patches.set_attr(shed_answers, 'SHORT_KEEP_INTERVAL', 1)
 
 
 def count_late_sheds(patches):
     patches.set_attr(
-        shed_answers.ShedAnswers,
+        shed_answers.ShedAnswerDetector,
         'note_answer',
         lambda self, size, waited_s: self._note_size(size, waited_s),
     )
 
 
 def keep_no_shorts(patches):
-    patches.set_attr(shed_answers, 'KEPT_SHORT', 1 << 30)
+    patches.set_attr(shed_answers, 'SHORT_KEEP_INTERVAL', 1 << 30)
 
 
 def refuse_copies(patches):
--- a/features/proofs/overload_stories.py
+++ b/features/proofs/overload_stories.py
@@ -7,7 +7,7 @@
 import random
 
 from cornelgap.decisions.overload import LOW
-from cornelgap.decisions.shed_answers import ShedAnswers
+from cornelgap.decisions.shed_answers import ShedAnswerDetector
 from cornelgap.forwarding import admission_control
 from cornelgap.forwarding import packets as pkt
 from cornelgap.forwarding.directory_view import RequestPolicy, Route
@@ -256,7 +256,7 @@
 def play_overload_mostly_sheds():
     """Nineteen of twenty answers of a route are sheds, for long."""
     rng = random.Random(1)
-    usual = ShedAnswers()
+    usual = ShedAnswerDetector()
     for _ in range(64):
         usual.note_answer(rng.randint(500, 2000), 0.03)
     missed = taken = 0
@@ -278,7 +278,7 @@
     found = []
     for mean, spread in ((600, 0.6), (1000, 0.6), (20000, 0.7)):
         rng = random.Random(mean)
-        usual = ShedAnswers()
+        usual = ShedAnswerDetector()
         taken = 0
         for _ in range(4000):
             size = mean * rng.lognormvariate(-spread * spread / 2, spread)
@@ -293,7 +293,7 @@
 
 def play_overload_shorter_answers():
     """A route's answers are short from now on, and nobody is full."""
-    usual = ShedAnswers()
+    usual = ShedAnswerDetector()
     for _ in range(64):
         usual.note_answer(4000, 0.03)
     shorts = [usual.note_answer(100, 0.02) for _ in range(2000)]
