--- a/cornelgap/decisions/error_shares.py
+++ b/cornelgap/decisions/error_shares.py
@@ -125,7 +125,7 @@
         """Record that cuts have shown the short answers to be errors."""
         self._detected_at = now
 
-    def are_shown(self, now):
+    def are_detected(self, now):
         """Return whether short answers were recently found to be errors."""
         return now - self._detected_at < DETECTION_VALID_S
 
--- a/cornelgap/decisions/overload.py
+++ b/cornelgap/decisions/overload.py
@@ -348,7 +348,7 @@
             self._errors.note_detection(now)
             self._capacity_per_s = self._cut_series.served_per_s
             self._cut_series = None
-        return self._errors.are_shown(now)
+        return self._errors.are_detected(now)
 
     def _compute_cut(self, tally, span_s):
         self._overloaded_steps += 1
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -413,7 +413,7 @@
 
 def take_errors_for_sheds(patches):
     patches.set_attr(
-        error_shares.ErrorShares, 'are_shown', lambda self, now: False
+        error_shares.ErrorShares, 'are_detected', lambda self, now: False
     )
 
 
