--- a/cornelgap/decisions/fair_shares.py
+++ b/cornelgap/decisions/fair_shares.py
@@ -49,7 +49,7 @@
         self._previous_counts = {}
 
     @property
-    def limited(self):
+    def limited_callers(self):
         """Return the number of callers that asked for more than the level."""
         if self._level is None:
             return 0
@@ -69,7 +69,7 @@
         if caller in self._counts or len(self._counts) < MAX_CALLERS:
             self._counts[caller] = self._counts.get(caller, 0) + 1
 
-    def find_chance(self, caller):
+    def compute_probability(self, caller):
         """Return the probability, 0 to 1, of admitting a caller's opening."""
         count = max(
             self._counts.get(caller, 0), self._previous_counts.get(caller, 0)
--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -48,7 +48,7 @@
         for priority, callers in self.callers.items():
             callers.set_share(self.gate.shares.get(priority, 1))
 
-    def find_chance(self, priority, caller, counted, now):
+    def compute_probability(self, priority, caller, counted, now):
         """Return the chance of a caller's opening.
 
         :param counted: whether it has been counted before.
@@ -60,7 +60,7 @@
             callers.set_share(self.gate.shares[priority])
         if not counted:
             callers.note_opening(caller, now)
-        return callers.find_chance(caller)
+        return callers.compute_probability(caller)
 
 
 class AdmissionControl:
@@ -150,7 +150,9 @@
         if priority not in service.gate.shares:
             return None
         counted = packet.ack > 0
-        chance = service.find_chance(priority, packet.source, counted, now)
+        chance = service.compute_probability(
+            priority, packet.source, counted, now
+        )
         if self._rng.random() < chance:
             return None
         if has_surely_not_run(packet):
@@ -170,7 +172,8 @@
             ended = name in self._told and not service.gate.limited
             if changed or ended:
                 limited = sum(
-                    callers.limited for callers in service.callers.values()
+                    callers.limited_callers
+                    for callers in service.callers.values()
                 )
                 service.set_shares()
                 told.extend(self._list_news(name, service, limited))
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -439,7 +439,7 @@
 def draw_among_all(patches):
     patches.set_attr(
         fair_shares.FairShares,
-        'find_chance',
+        'compute_probability',
         lambda self, caller: self._share,
     )
 
