--- a/bench/placements.py
+++ b/bench/placements.py
@@ -114,9 +114,9 @@
         if self.CHOICES:
             names = self.rng.sample(names, self.CHOICES)
         loads = self.placement._loads
-        lowest = min(loads[name].others for name in names)
+        lowest = min(loads[name].other_requests for name in names)
         target = self.rng.choice(
-            [name for name in names if loads[name].others == lowest]
+            [name for name in names if loads[name].other_requests == lowest]
         )
         self.pin(flow, target)
         return True
--- a/cornelgap/decisions/placement.py
+++ b/cornelgap/decisions/placement.py
@@ -174,7 +174,7 @@
         if load is not None:
             load.note_in_flight(now, -1)
             if ended in _TIMED_ENDS:
-                load.took.add(took_s)
+                load.durations.add(took_s)
             self._health.note_end(target, now, ended)
 
     def note_report(self, target, now, in_flight, waiting, slots, draining):
@@ -323,7 +323,7 @@
         flows = sum(load.flows for load in loads.values())
         slots = sum(load.slots for load in loads.values())
         mean_flows = max(flows / slots, 1 / slots)
-        others = sum(load.others for load in loads.values()) / slots
+        others = sum(load.other_requests for load in loads.values()) / slots
         scores = {}
         median_took = self._compute_median_took(loads)
         for name, load in loads.items():
@@ -343,7 +343,7 @@
         return scores
 
     def _compute_median_took(self, loads):
-        known = [load.took.read(0) for load in loads.values()]
+        known = [load.durations.read(0) for load in loads.values()]
         return statistics.median(known) if all(known) else 0
 
     def _choose_evacuations(self, now, limit):
@@ -406,7 +406,7 @@
     """
     if not median_took:
         return 1.0
-    ratio = load.took.read(median_took) / median_took
+    ratio = load.durations.read(median_took) / median_took
     # Continuous at the threshold: with a jump there, each answer could move
     # a flow.
     return min(1 + max(0, ratio - _SLOWNESS_THRESHOLD), _MAX_SLOWNESS)
--- a/cornelgap/decisions/targetload.py
+++ b/cornelgap/decisions/targetload.py
@@ -20,8 +20,8 @@
 
     :param slots: requests that the target runs at the same time.
     :param since: when it joined, seconds; None if long ago.
-    :ivar others: estimated requests of other entry instances.
-    :ivar took: mean duration of a request, seconds.
+    :ivar other_requests: estimated requests of other entry instances.
+    :ivar durations: mean duration of a request, seconds.
     """
 
     def __init__(self, slots, since=None):
@@ -30,9 +30,9 @@
         self.since = since
         self.flows = 0
         self.in_flight = 0
-        self.others = float(0)
+        self.other_requests = float(0)
         self.reports_draining = False
-        self.took = Average(_DURATION_WEIGHT)
+        self.durations = Average(_DURATION_WEIGHT)
         self._reported_at = None
 
     def note_in_flight(self, now, change):
@@ -44,7 +44,7 @@
         total = min(total, _MAX_REPORTED_PER_SLOT * self.slots)
         reported_others = max(0, total - self.in_flight)
         # A report shows a single instant, so it is averaged with weight 0.5.
-        self.others += 0.5 * (reported_others - self.others)
+        self.other_requests += 0.5 * (reported_others - self.other_requests)
         self._reported_at = now
 
     def estimate(self, now, usual_others):
@@ -59,5 +59,5 @@
         return (
             self.in_flight
             + usual_others
-            + weight * (self.others - usual_others)
+            + weight * (self.other_requests - usual_others)
         )
