--- a/cornelgap/decisions/answer_tally.py
+++ b/cornelgap/decisions/answer_tally.py
@@ -14,7 +14,7 @@
     Short answers count as sheds, also where they are errors.
 
     :param since: start of the period, seconds.
-    :param targets: lists [answers, sheds] by target.
+    :param answers_by_target: lists [answers, sheds] by target.
     :param answers_by_priority: number of answers by priority.
     :param openings_by_priority: number of openings (first packets of new
         flows) by priority, including refused ones; counted while any may be
@@ -25,7 +25,7 @@
     """
 
     since: float
-    targets: dict = field(default_factory=dict)
+    answers_by_target: dict = field(default_factory=dict)
     answers_by_priority: dict = field(default_factory=dict)
     openings_by_priority: dict = field(default_factory=dict)
     sheds_by_priority: dict = field(default_factory=dict)
@@ -39,7 +39,7 @@
     @property
     def sheds(self):
         """Return the number of sheds."""
-        return sum(sheds for _, sheds in self.targets.values())
+        return sum(sheds for _, sheds in self.answers_by_target.values())
 
     @property
     def served(self):
@@ -69,7 +69,7 @@
         :param prompt: whether it came as soon as from a target with room;
             None if that is not known.
         """
-        _add_pair(self.targets, target, (1, shed))
+        _add_pair(self.answers_by_target, target, (1, shed))
         _add_number(self.answers_by_priority, priority, 1)
         if shed:
             _add_number(self.sheds_by_priority, priority, 1)
@@ -82,7 +82,7 @@
 
     def merge(self, other):
         """Add the counts of another period."""
-        for name in ('targets', 'waits_by_target'):
+        for name in ('answers_by_target', 'waits_by_target'):
             for target, pair in getattr(other, name).items():
                 _add_pair(getattr(self, name), target, pair)
         for name in (
@@ -95,7 +95,7 @@
 
     def count_shedding(self):
         """Return the number of targets with at least one shed."""
-        return sum(sheds > 0 for _, sheds in self.targets.values())
+        return sum(sheds > 0 for _, sheds in self.answers_by_target.values())
 
     def count_waits(self):
         """Count the regular answers of the targets with at least one shed.
@@ -104,7 +104,7 @@
         """
         pairs = [
             self.waits_by_target[target]
-            for target, (_, sheds) in self.targets.items()
+            for target, (_, sheds) in self.answers_by_target.items()
             if sheds and target in self.waits_by_target
         ]
         return sum(pair[0] for pair in pairs), sum(pair[1] for pair in pairs)
--- a/cornelgap/decisions/error_shares.py
+++ b/cornelgap/decisions/error_shares.py
@@ -159,7 +159,7 @@
             tally.since,
             {
                 target: [answers - sheds * (1 - kept), sheds * kept]
-                for target, (answers, sheds) in tally.targets.items()
+                for target, (answers, sheds) in tally.answers_by_target.items()
             },
             {
                 priority: answers - errors.get(priority, 0)
--- a/cornelgap/decisions/overload.py
+++ b/cornelgap/decisions/overload.py
@@ -308,7 +308,9 @@
         self.shed_share = corrected.sheds / max(1, corrected.answers)
         low, high = find_bounds(self.shares)
         spread = is_spread(
-            corrected.sheds, corrected.count_shedding(), len(corrected.targets)
+            corrected.sheds,
+            corrected.count_shedding(),
+            len(corrected.answers_by_target),
         )
         above_limit = self.shed_share > high and corrected.sheds >= MIN_SHEDS
         if above_limit and spread:
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -160,7 +160,7 @@
     @vary(shares, counts, counts, st.integers(0, 500), st.floats(0, 500))
     def search(before, answers, offered, sheds, spare):
         tally = overload.Tally(0, {}, answers, offered)
-        tally.targets[1] = [tally.answers, min(sheds, tally.answers)]
+        tally.answers_by_target[1] = [tally.answers, min(sheds, tally.answers)]
         raised = overload.raise_shares(before, offered, spare)
         assert raised.keys() == before.keys()
         assert all(before[name] <= raised[name] <= 1 for name in before)
