--- a/cornelgap/decisions/withdrawal.py
+++ b/cornelgap/decisions/withdrawal.py
@@ -63,7 +63,7 @@
 openings that they cannot serve."""
 
 
-class Sight(Struct, frozen=True):
+class OpeningReport(Struct, frozen=True):
     """What one instance counted in the last :data:`SPAN_S`.
 
     :param placed: openings that were placed on a reachable target.
@@ -83,7 +83,7 @@
 class Situation(Struct, frozen=True):
     """Input of a decision on one zone.
 
-    :param sights: :class:`Sight` by instance, of the instances that cannot
+    :param reports: :class:`OpeningReport` by instance, of those that cannot
         reach some other zone.
     :param instances: number of instances that the zone had in the last
         minute; 0 while it is not known.
@@ -92,7 +92,7 @@
     :param home: names of the own zone's targets that may take new flows.
     """
 
-    sights: dict
+    reports: dict
     instances: int = 0
     heard_at: dict = {}
     others: frozenset = frozenset()
@@ -100,7 +100,7 @@
 
 
 class Totals(Struct, frozen=True):
-    """Totals over the instances of a zone; see :class:`Sight`.
+    """Totals over the instances of a zone; see :class:`OpeningReport`.
 
     :param opening: number of instances that received an opening.
     :param witnesses: number of instances that could not serve one.
@@ -114,17 +114,17 @@
     witnesses: int
 
 
-def sum_sights(sights):
+def sum_reports(reports):
     """Return the :class:`Totals` over the instances of a zone."""
-    sights = list(sights)
-    beyond = (sight.beyond for sight in sights if sight.unserved)
+    reports = list(reports)
+    beyond = (report.beyond for report in reports if report.unserved)
     return Totals(
-        placed=sum(sight.placed for sight in sights),
-        unserved=sum(sight.unserved for sight in sights),
-        served=sum(sight.served for sight in sights),
+        placed=sum(report.placed for report in reports),
+        unserved=sum(report.unserved for report in reports),
+        served=sum(report.served for report in reports),
         beyond=frozenset().union(*beyond),
-        opening=sum(sight.placed + sight.unserved > 0 for sight in sights),
-        witnesses=sum(sight.unserved > 0 for sight in sights),
+        opening=sum(report.placed + report.unserved > 0 for report in reports),
+        witnesses=sum(report.unserved > 0 for report in reports),
     )
 
 
@@ -150,16 +150,16 @@
     return beyond & others
 
 
-def is_witnessed(totals, reports, instances):
+def is_witnessed(totals, report_count, instances):
     """Return whether enough instances of the zone agree on the cut.
 
     More than half of all instances must report an unreachable zone, and more
     than half of those that received openings must have unserved ones.
 
-    :param reports: number of instances that cannot reach some other zone.
+    :param report_count: number of instances that cannot reach some other zone.
     :param instances: as in :class:`Situation`.
     """
-    if 2 * reports <= instances or not instances:
+    if 2 * report_count <= instances or not instances:
         return False
     if instances >= LARGE_ZONE_INSTANCES and totals.witnesses < 2:
         return False
@@ -186,7 +186,7 @@
         self.beyond = frozenset()
         self.why = ''
         self.undecided = False
-        self.totals = sum_sights(())
+        self.totals = sum_reports(())
         self._unserved_since = None
         self._decided_at = float('-inf')
         self._local_targets = None
@@ -198,7 +198,7 @@
         :param situation: :class:`Situation`.
         :returns: whether the decision has changed.
         """
-        self.totals = sum_sights(situation.sights.values())
+        self.totals = sum_reports(situation.reports.values())
         self.undecided = False
         self._note_turn(now)
         if self.withdrawn:
@@ -251,9 +251,9 @@
         self.forget_evidence()
 
     def _is_withdrawal_due(self, situation, beyond, now):
-        reports = len(situation.sights)
+        report_count = len(situation.reports)
         enough = outweighs(self.totals) and is_witnessed(
-            self.totals, reports, situation.instances
+            self.totals, report_count, situation.instances
         )
         if not (beyond and enough):
             self._unserved_since = None
@@ -288,7 +288,7 @@
             return 'targets_at_home'
         if _list_heard(situation, self.beyond, now - QUIET_S):
             return 'zone_heard'
-        if situation.instances and not situation.sights:
+        if situation.instances and not situation.reports:
             return 'zones_in_reach'
         if self.totals.placed and not self.totals.unserved:
             return 'openings_placed'
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -367,7 +367,7 @@
 
     def _take_load(self, message):
         self._reports.take_own(message)
-        if self._standing.take_sight(message.sight):
+        if self._standing.take_opening_report(message.opening_report):
             hosts = self._neighbours.list_near_hosts()
             self._send_beat(hosts, self._own.zone)
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -229,9 +229,11 @@
         """Return counts of the times that answers took."""
         return self._evidence.answers
 
-    def make_sight(self, now):
-        """Return the :class:`~cornelgap.decisions.withdrawal.Sight` of now."""
-        return self.openings.make_sight(self.view, self.flows.loads, now)
+    def make_opening_report(self, now):
+        """Return the present report on openings, for the own zone."""
+        return self.openings.make_opening_report(
+            self.view, self.flows.loads, now
+        )
 
     def step_admission(self, now):
         """Change what is admitted by what was seen.
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -8,7 +8,7 @@
 
 from collections import Counter, deque
 
-from cornelgap.decisions.withdrawal import SPAN_S, TRIES, Sight
+from cornelgap.decisions.withdrawal import SPAN_S, TRIES, OpeningReport
 
 
 class Openings:
@@ -60,8 +60,8 @@
         """Note until when openings are dropped that cannot be served."""
         self._drops_until = until
 
-    def make_sight(self, view, loads, now):
-        """Return the :class:`Sight` of the last second.
+    def make_opening_report(self, view, loads, now):
+        """Return the :class:`OpeningReport` of the last second.
 
         :param loads: :class:`~cornelgap.forwarding.flows.Load` by cookie.
         :returns: None while all zones are in reach.
@@ -83,7 +83,7 @@
             and not _is_in_zones(view.find(cookie), away)
         )
         zones = frozenset().union(*(beyond for _, beyond, _ in self._seen))
-        return Sight(counts[False], counts[True], served, zones)
+        return OpeningReport(counts[False], counts[True], served, zones)
 
     def _list_zones(self, view, route):
         """Return the zones of all targets that take flows of a route."""
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -72,14 +72,14 @@
     :param loads: flows by cookie.
     :param outcomes: how requests have ended since the last message, by
         cookie, :class:`~cornelgap.decisions.target_outliers.Outcomes`.
-    :param sight: openings of the last second,
-        :class:`~cornelgap.decisions.withdrawal.Sight`; None while all zones
-        are in reach.
+    :param opening_report: openings of the last second,
+        :class:`~cornelgap.decisions.withdrawal.OpeningReport`; None while all
+        zones are in reach.
     """
 
     loads: dict
     outcomes: dict
-    sight: object = None
+    opening_report: object = None
 
 
 class ZoneOutcomes(Struct, frozen=True):
@@ -421,7 +421,7 @@
         news = LoadSeen(
             flows.count_flows(),
             self._engine.judge.take_outcomes(),
-            self._engine.make_sight(self._turn_at),
+            self._engine.make_opening_report(self._turn_at),
         )
         self._tell(news)
 
--- a/cornelgap/forwarding/peer_messages.py
+++ b/cornelgap/forwarding/peer_messages.py
@@ -83,7 +83,7 @@
     :param zone_outcomes: the same through all instances of the zone.
     :param openings: what the sender has seen in the last second while zones
         are away: [placed, unserved, served], as in
-        :class:`~cornelgap.decisions.withdrawal.Sight`.
+        :class:`~cornelgap.decisions.withdrawal.OpeningReport`.
     :param withdrawal: whether the zone is out of rotation: [0 or 1, ages of
         the last change and of its last confirmation in milliseconds].
     :param beyond: names of the zones beyond a cut, of whichever of both.
--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -14,12 +14,12 @@
 
 from cornelgap.decisions.withdrawal import (
     UNDECIDED_S,
-    Sight,
+    OpeningReport,
     Situation,
     Withdrawal,
 )
 
-SIGHT_S = 1.3
+REPORT_MAX_AGE_S = 1.3
 """Age up to which a report counts; reports come twice a second, so this
 takes two lost datagrams in a row."""
 
@@ -82,7 +82,7 @@
         self._withdrawal = Withdrawal()
         self._confirmed_at = float('-inf')
         self._own = None
-        self._sights = {}
+        self._reports = {}
         self._heard_at = {}
         self._others = frozenset()
         self._home = frozenset()
@@ -99,13 +99,13 @@
         """Say whether the zone is to be out of rotation."""
         return self._withdrawal.withdrawn
 
-    def take_sight(self, sight):
+    def take_opening_report(self, report):
         """Take what this instance has seen, None if all zones are in reach.
 
         :returns: whether the hubs are to hear of it at once.
         """
-        before, self._own = self._own, sight
-        return _has_unserved(sight) and not _has_unserved(before)
+        before, self._own = self._own, report
+        return _has_unserved(report) and not _has_unserved(before)
 
     def take_view(self, view, now):
         """Take another picture of the directory."""
@@ -133,9 +133,9 @@
         if beat.name == self._neighbours.name:
             return
         if beat.leaving:
-            self._sights.pop(beat.name, None)
+            self._reports.pop(beat.name, None)
             return
-        self._sights[beat.name] = (now, _read_sight(beat))
+        self._reports[beat.name] = (now, _read_opening_report(beat))
         self._hear(beat, beat.name, now)
 
     def take_snapshot(self, snapshot, host, now):
@@ -158,10 +158,10 @@
             self._log(self._neighbours.name, now)
         if self._waits_until is not None and now >= self._waits_until:
             self._waits_until = None
-        self._sights = {
+        self._reports = {
             name: told
-            for name, told in self._sights.items()
-            if now - told[0] <= SIGHT_S
+            for name, told in self._reports.items()
+            if now - told[0] <= REPORT_MAX_AGE_S
         }
         changed = False
         undecided = withdrawal.undecided
@@ -249,15 +249,15 @@
 
     def _make_situation(self, now):
         neighbours = self._neighbours
-        sights = {
-            name: sight
-            for name, (_, sight) in self._sights.items()
-            if sight is not None
+        reports = {
+            name: report
+            for name, (_, report) in self._reports.items()
+            if report is not None
         }
         if self._own is not None:
-            sights[neighbours.name] = self._own
+            reports[neighbours.name] = self._own
         return Situation(
-            sights,
+            reports,
             len(neighbours.list_recent(now)),
             self._heard_at,
             self._others,
@@ -306,11 +306,11 @@
         )
 
 
-def _has_unserved(sight):
-    return sight is not None and sight.unserved > 0
+def _has_unserved(report):
+    return report is not None and report.unserved > 0
 
 
-def _read_sight(beat):
+def _read_opening_report(beat):
     if not beat.openings:
         return None
-    return Sight(*beat.openings, frozenset(beat.beyond))
+    return OpeningReport(*beat.openings, frozenset(beat.beyond))
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -43,7 +43,7 @@
 
 def believe_anybody(patches):
     patches.replace_function(
-        withdrawal.is_witnessed, lambda totals, reports, instances: True
+        withdrawal.is_witnessed, lambda totals, report_count, instances: True
     )
 
 
--- a/features/proofs/withdrawal_stories.py
+++ b/features/proofs/withdrawal_stories.py
@@ -4,7 +4,7 @@
 with its guard and without it.
 """
 
-from cornelgap.decisions.withdrawal import Sight, Situation, Withdrawal
+from cornelgap.decisions.withdrawal import OpeningReport, Situation, Withdrawal
 from cornelgap.forwarding.zone_standing import UNDECIDED
 from features.proofs.forwarding_desk import make_target
 from features.proofs.withdrawal_world import FAR, NEAR, OTHER, STEP_S, World
@@ -310,8 +310,8 @@
 
 def play_withdrawn_standstill():
     """The only instance of a zone stands still just after a cut began."""
-    sight = Sight(unserved=20, beyond=frozenset('a'))
-    dark = Situation({'n0': sight}, 1, {}, frozenset('a'))
+    report = OpeningReport(unserved=20, beyond=frozenset('a'))
+    dark = Situation({'n0': report}, 1, {}, frozenset('a'))
     verdict = Withdrawal()
     for now in (100, 100.25, 110.25):
         verdict.decide(dark, now)
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -340,7 +340,9 @@
         if self.steps % BEAT_STEPS == 0:
             members = near.list_members(self.now, 'b') if near.is_hub else []
             self._send(node, near.list_near_hosts(), members=members)
-        if node.standing.take_sight(node.engine.make_sight(self.now)):
+        if node.standing.take_opening_report(
+            node.engine.make_opening_report(self.now)
+        ):
             self._send(node, near.list_near_hosts())
 
     def _fetch(self, node):
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -11,7 +11,7 @@
 from cornelgap.decisions.withdrawal import (
     CALM_S,
     HOLD_S,
-    Sight,
+    OpeningReport,
     Situation,
     Withdrawal,
 )
@@ -25,11 +25,11 @@
     max_examples=200, derandomize=True, database=None, deadline=None
 )
 FAR = frozenset(('a', 'c'))
-DARK = Sight(placed=1, unserved=20, served=2, beyond=frozenset('a'))
-LIT = Sight(placed=20)
+DARK = OpeningReport(placed=1, unserved=20, served=2, beyond=frozenset('a'))
+LIT = OpeningReport(placed=20)
 zones = st.frozensets(st.sampled_from(('a', 'c')))
-sights = st.builds(
-    Sight,
+reports = st.builds(
+    OpeningReport,
     placed=st.integers(0, 3),
     unserved=st.integers(0, 40),
     served=st.integers(0, 30),
@@ -38,7 +38,7 @@
 STRETCHES = st.lists(
     st.tuples(
         st.integers(1, 60),
-        st.one_of(st.just([DARK] * 3), st.lists(sights, max_size=3)),
+        st.one_of(st.just([DARK] * 3), st.lists(reports, max_size=3)),
         st.one_of(st.just(FAR), zones),
         zones,
         st.frozensets(st.integers(0, 2), max_size=2),
@@ -50,7 +50,7 @@
 def play(stretches):
     """Let a zone see one thing after the other.
 
-    :param stretches: tuples (ticks, sights, others, zones heard, home).
+    :param stretches: tuples (ticks, reports, others, zones heard, home).
     :returns: list of tuples (time, withdrawn, zones that serve meanwhile).
     """
     verdict = Withdrawal()
@@ -137,7 +137,7 @@
 @when('{dark:d} of them can serve nobody and the others open flows')
 def decide_with_others(context, dark):
     found = [DARK] * dark + [LIT] * (context.count - dark)
-    decide(context, {f'n{at}': sight for at, sight in enumerate(found)})
+    decide(context, {f'n{at}': report for at, report in enumerate(found)})
 
 
 @when('{dark:d} of them can serve nobody and no other instance reports')
