--- a/cornelgap/decisions/withdrawal.py
+++ b/cornelgap/decisions/withdrawal.py
@@ -128,7 +128,7 @@
     )
 
 
-def outweighs(totals):
+def is_withdrawal_worthwhile(totals):
     """Return whether a withdrawal would save more than it loses.
 
     One lost request causes up to three openings, and a zone stays out of
@@ -141,7 +141,7 @@
     return totals.unserved > totals.served
 
 
-def list_serving(beyond, others):
+def list_usable_zones(beyond, others):
     """Return the zones that can serve while this one is out of rotation.
 
     :param beyond: zones that the unserved openings could have used.
@@ -150,7 +150,7 @@
     return beyond & others
 
 
-def is_witnessed(totals, report_count, instances):
+def has_majority(totals, report_count, instances):
     """Return whether enough instances of the zone agree on the cut.
 
     More than half of all instances must report an unreachable zone, and more
@@ -173,7 +173,7 @@
     :ivar changed_at: time of the last change; minus infinity if no decision
         is known.
     :ivar beyond: names of the zones that serve while this one is withdrawn.
-    :ivar why: cause of the last change, as the log shows it.
+    :ivar cause: cause of the last change; a field of the log line.
     :ivar undecided: whether the zone cannot serve and may be withdrawn within
         :data:`UNDECIDED_S`.
     :ivar totals: the :class:`Totals` of the last decision.
@@ -184,7 +184,7 @@
         self.withdrawn = False
         self.changed_at = float('-inf')
         self.beyond = frozenset()
-        self.why = ''
+        self.cause = ''
         self.undecided = False
         self.totals = sum_reports(())
         self._unserved_since = None
@@ -200,13 +200,13 @@
         """
         self.totals = sum_reports(situation.reports.values())
         self.undecided = False
-        self._note_turn(now)
+        self._drop_stale_evidence(now)
         if self.withdrawn:
-            why = self._find_return(situation, now)
-            if why:
-                self._set_withdrawn(False, now, why)
+            cause = self._find_return_cause(situation, now)
+            if cause:
+                self._set_withdrawn(False, now, cause)
             return not self.withdrawn
-        beyond = list_serving(self.totals.beyond, situation.others)
+        beyond = list_usable_zones(self.totals.beyond, situation.others)
         if not self._is_withdrawal_due(situation, beyond, now):
             return False
         self.beyond = beyond
@@ -233,26 +233,26 @@
         """Discard a decision that no instance confirms any more."""
         self.withdrawn = False
         self.changed_at = float('-inf')
-        self.why = 'unconfirmed'
+        self.cause = 'unconfirmed'
         self.forget_evidence()
 
-    def _note_turn(self, now):
+    def _drop_stale_evidence(self, now):
         """Discard evidence from before a stall of this process."""
         if now - self._decided_at > SPAN_S:
             self.forget_evidence()
         self._decided_at = now
 
-    def _set_withdrawn(self, withdrawn, changed_at, why):
+    def _set_withdrawn(self, withdrawn, changed_at, cause):
         if self.withdrawn and not withdrawn:
             self._returns.append(changed_at)
         self.withdrawn = withdrawn
         self.changed_at = changed_at
-        self.why = why
+        self.cause = cause
         self.forget_evidence()
 
     def _is_withdrawal_due(self, situation, beyond, now):
         report_count = len(situation.reports)
-        enough = outweighs(self.totals) and is_witnessed(
+        enough = is_withdrawal_worthwhile(self.totals) and has_majority(
             self.totals, report_count, situation.instances
         )
         if not (beyond and enough):
@@ -275,9 +275,9 @@
             UNSERVED_S, len(self._returns) + 1, LONGEST_UNSERVED_S
         )
 
-    def _find_return(self, situation, now):
+    def _find_return_cause(self, situation, now):
         """Return why the zone returns to rotation, or an empty string."""
-        if not list_serving(self.beyond, situation.others):
+        if not list_usable_zones(self.beyond, situation.others):
             return 'no_other_zone'
         if self._local_targets is None:
             self._local_targets = situation.home
--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -283,7 +283,7 @@
         totals = withdrawal.totals
         fields = {
             'by': by,
-            'cause': withdrawal.why,
+            'cause': withdrawal.cause,
             'beyond': sorted(withdrawal.beyond),
         }
         if by == self._neighbours.name:
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -8,12 +8,14 @@
 
 def keep_old_evidence(patches):
     patches.set_attr(
-        withdrawal.Withdrawal, '_note_turn', lambda self, now: None
+        withdrawal.Withdrawal, '_drop_stale_evidence', lambda self, now: None
     )
 
 
 def stay_in_rotation(patches):
-    patches.replace_function(withdrawal.outweighs, lambda totals: False)
+    patches.replace_function(
+        withdrawal.is_withdrawal_worthwhile, lambda totals: False
+    )
 
 
 def reset_all_openings(patches):
@@ -43,13 +45,13 @@
 
 def believe_anybody(patches):
     patches.replace_function(
-        withdrawal.is_witnessed, lambda totals, report_count, instances: True
+        withdrawal.has_majority, lambda totals, report_count, instances: True
     )
 
 
 def leave_to_nobody(patches):
     patches.replace_function(
-        withdrawal.list_serving, lambda beyond, others: frozenset('a')
+        withdrawal.list_usable_zones, lambda beyond, others: frozenset('a')
     )
     patches.set_attr(
         openings.Openings, 'find_beyond', lambda self, view, route: {'a'}
@@ -64,12 +66,12 @@
 
 
 def overlook_home(patches):
-    find_return = withdrawal.Withdrawal._find_return
+    find_return = withdrawal.Withdrawal._find_return_cause
 
     def find_other(self, situation, now):
         return find_return(self, replace(situation, home=frozenset()), now)
 
-    patches.set_attr(withdrawal.Withdrawal, '_find_return', find_other)
+    patches.set_attr(withdrawal.Withdrawal, '_find_return_cause', find_other)
 
 
 def begin_ready(patches):
@@ -78,7 +80,7 @@
 
 def give_up_served(patches):
     patches.replace_function(
-        withdrawal.outweighs, lambda totals: totals.unserved > 0
+        withdrawal.is_withdrawal_worthwhile, lambda totals: totals.unserved > 0
     )
 
 
