--- a/cornelgap/decisions/withdrawal.py
+++ b/cornelgap/decisions/withdrawal.py
@@ -88,15 +88,16 @@
     :param instances: number of instances that the zone had in the last
         minute; 0 while it is not known.
     :param heard_at: time of the last beat from another zone, by zone.
-    :param others: names of other zones whose targets may take new flows.
-    :param home: names of the own zone's targets that may take new flows.
+    :param other_zones: names of other zones whose targets may take new flows.
+    :param local_targets: names of the own zone's targets that may take new
+        flows.
     """
 
     reports: dict
     instances: int = 0
     heard_at: dict = {}
-    others: frozenset = frozenset()
-    home: frozenset = frozenset()
+    other_zones: frozenset = frozenset()
+    local_targets: frozenset = frozenset()
 
 
 class Totals(Struct, frozen=True):
@@ -141,13 +142,13 @@
     return totals.unserved > totals.served
 
 
-def list_usable_zones(beyond, others):
+def list_usable_zones(beyond, other_zones):
     """Return the zones that can serve while this one is out of rotation.
 
     :param beyond: zones that the unserved openings could have used.
-    :param others: as in :class:`Situation`.
+    :param other_zones: as in :class:`Situation`.
     """
-    return beyond & others
+    return beyond & other_zones
 
 
 def has_majority(totals, report_count, instances):
@@ -206,11 +207,11 @@
             if cause:
                 self._set_withdrawn(False, now, cause)
             return not self.withdrawn
-        beyond = list_usable_zones(self.totals.beyond, situation.others)
+        beyond = list_usable_zones(self.totals.beyond, situation.other_zones)
         if not self._is_withdrawal_due(situation, beyond, now):
             return False
         self.beyond = beyond
-        self._local_targets = situation.home
+        self._local_targets = situation.local_targets
         self._set_withdrawn(True, now, 'unserved')
         return True
 
@@ -277,14 +278,14 @@
 
     def _find_return_cause(self, situation, now):
         """Return why the zone returns to rotation, or an empty string."""
-        if not list_usable_zones(self.beyond, situation.others):
+        if not list_usable_zones(self.beyond, situation.other_zones):
             return 'no_other_zone'
         if self._local_targets is None:
-            self._local_targets = situation.home
+            self._local_targets = situation.local_targets
         withdrawn_s = now - self.changed_at
         if withdrawn_s < HOLD_S:
             return ''
-        if situation.home - self._local_targets:
+        if situation.local_targets - self._local_targets:
             return 'targets_at_home'
         if _list_heard(situation, self.beyond, now - QUIET_S):
             return 'zone_heard'
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -51,7 +51,7 @@
 
 def leave_to_nobody(patches):
     patches.replace_function(
-        withdrawal.list_usable_zones, lambda beyond, others: frozenset('a')
+        withdrawal.list_usable_zones, lambda beyond, other_zones: frozenset('a')
     )
     patches.set_attr(
         openings.Openings, 'find_beyond', lambda self, view, route: {'a'}
@@ -69,7 +69,9 @@
     find_return = withdrawal.Withdrawal._find_return_cause
 
     def find_other(self, situation, now):
-        return find_return(self, replace(situation, home=frozenset()), now)
+        return find_return(
+            self, replace(situation, local_targets=frozenset()), now
+        )
 
     patches.set_attr(withdrawal.Withdrawal, '_find_return_cause', find_other)
 
