--- a/cornelgap/decisions/withdrawal.py
+++ b/cornelgap/decisions/withdrawal.py
@@ -22,7 +22,7 @@
 
 from cornelgap.decisions.backoff import compute_backoff
 
-SPAN_S = 1.0
+OPENING_WINDOW_S = 1.0
 """Window in which openings and served flows are counted."""
 
 UNSERVED_S = 0.5
@@ -36,25 +36,25 @@
 decided within it.  One that takes longer may never be made, and callers are
 better refused at once."""
 
-CALM_S = 60.0
+FLAP_WINDOW_S = 60.0
 """Time for which a return to rotation makes the next withdrawal take
 longer."""
 
-QUIET_S = 1.8
+MIN_SILENCE_S = 1.8
 """Time without a beat from the zones beyond the cut, before a withdrawal.
 Their hubs send one every 1 to 1.5 s.  A zone whose beats still arrive has
 lost its targets and not its links, and could not serve either."""
 
-HOLD_S = 3.0
+MIN_WITHDRAWN_S = 3.0
 """Shortest time out of rotation.  Routers take up to a second to stop using a
 zone, and callers up to 1.4 s to end the attempts that were lost by then."""
 
-LONGEST_WITHDRAWN_S = 60.0
+MAX_WITHDRAWN_S = 60.0
 """Longest time out of rotation without any sign that the cut is over.  The
 signs themselves may be lost; a return that comes too early costs about two
 seconds."""
 
-TRIES = 3
+OPENINGS_PER_REQUEST = 3
 """Openings that a caller sends for one lost request: the first and two
 retries."""
 
@@ -64,12 +64,13 @@
 
 
 class OpeningReport(Struct, frozen=True):
-    """What one instance counted in the last :data:`SPAN_S`.
+    """What one instance counted in the last :data:`OPENING_WINDOW_S`.
 
     :param placed: openings that were placed on a reachable target.
     :param unserved: openings for which all targets lie beyond a cut.
     :param served: open flows on targets that have answered, plus
-        :data:`TRIES` times the openings that no other zone can serve.
+        :data:`OPENINGS_PER_REQUEST` times the openings that no other zone can
+        serve.
     :param beyond: names of zones beyond the cut that could have served the
         unserved openings.
     """
@@ -137,7 +138,7 @@
     one to one with open flows.  Openings placed here do not count as lost if
     another zone could place them too.
     """
-    if totals.unserved < TRIES:
+    if totals.unserved < OPENINGS_PER_REQUEST:
         return False
     return totals.unserved > totals.served
 
@@ -239,7 +240,7 @@
 
     def _drop_stale_evidence(self, now):
         """Discard evidence from before a stall of this process."""
-        if now - self._decided_at > SPAN_S:
+        if now - self._decided_at > OPENING_WINDOW_S:
             self.forget_evidence()
         self._decided_at = now
 
@@ -266,11 +267,11 @@
         self.undecided = required_s == UNSERVED_S and unserved_s < UNDECIDED_S
         if unserved_s < required_s:
             return False
-        return not _list_heard(situation, beyond, now - QUIET_S)
+        return not _list_heard(situation, beyond, now - MIN_SILENCE_S)
 
     def _compute_required(self, now):
         """Return for how many seconds the zone must be unable to serve."""
-        while self._returns and now - self._returns[0] > CALM_S:
+        while self._returns and now - self._returns[0] > FLAP_WINDOW_S:
             self._returns.popleft()
         return compute_backoff(
             UNSERVED_S, len(self._returns) + 1, LONGEST_UNSERVED_S
@@ -283,17 +284,17 @@
         if self._local_targets is None:
             self._local_targets = situation.local_targets
         withdrawn_s = now - self.changed_at
-        if withdrawn_s < HOLD_S:
+        if withdrawn_s < MIN_WITHDRAWN_S:
             return ''
         if situation.local_targets - self._local_targets:
             return 'targets_at_home'
-        if _list_heard(situation, self.beyond, now - QUIET_S):
+        if _list_heard(situation, self.beyond, now - MIN_SILENCE_S):
             return 'zone_heard'
         if situation.instances and not situation.reports:
             return 'zones_in_reach'
         if self.totals.placed and not self.totals.unserved:
             return 'openings_placed'
-        return 'no_sign' if withdrawn_s >= LONGEST_WITHDRAWN_S else ''
+        return 'no_sign' if withdrawn_s >= MAX_WITHDRAWN_S else ''
 
 
 def _list_heard(situation, zones, since):
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -8,7 +8,11 @@
 
 from collections import Counter, deque
 
-from cornelgap.decisions.withdrawal import SPAN_S, TRIES, OpeningReport
+from cornelgap.decisions.withdrawal import (
+    OPENING_WINDOW_S,
+    OPENINGS_PER_REQUEST,
+    OpeningReport,
+)
 
 
 class Openings:
@@ -66,20 +70,20 @@
         :param loads: :class:`~cornelgap.forwarding.flows.Load` by cookie.
         :returns: None while all zones are in reach.
         """
-        while self._seen and now - self._seen[0][0] > SPAN_S:
+        while self._seen and now - self._seen[0][0] > OPENING_WINDOW_S:
             self._seen.popleft()
         away = self._judge.list_away()
         if not away:
             return None
         counts = Counter(bool(beyond) for _, beyond, _ in self._seen)
-        served = TRIES * sum(
+        served = OPENINGS_PER_REQUEST * sum(
             not beyond and self._list_zones(view, route) == {self._zone}
             for _, beyond, route in self._seen
         )
         served += sum(
             load.flows
             for cookie, load in loads.items()
-            if now - load.answered_at < SPAN_S
+            if now - load.answered_at < OPENING_WINDOW_S
             and not _is_in_zones(view.find(cookie), away)
         )
         zones = frozenset().union(*(beyond for _, beyond, _ in self._seen))
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -107,7 +107,7 @@
 
 
 def take_heard_for_cut(patches):
-    patches.set_attr(withdrawal, 'QUIET_S', 0)
+    patches.set_attr(withdrawal, 'MIN_SILENCE_S', 0)
 
 
 LIST = (
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -9,8 +9,8 @@
 
 from cornelgap.core.errors import CodedError
 from cornelgap.decisions.withdrawal import (
-    CALM_S,
-    HOLD_S,
+    FLAP_WINDOW_S,
+    MIN_WITHDRAWN_S,
     OpeningReport,
     Situation,
     Withdrawal,
@@ -90,7 +90,7 @@
     verdict = Withdrawal()
     dark = {f'n{number}': DARK for number in range(3)}
     told = []
-    for tick in range(round(5 * CALM_S / TICK_S)):
+    for tick in range(round(5 * FLAP_WINDOW_S / TICK_S)):
         others = frozenset() if verdict.withdrawn else FAR
         now = 100 + tick * TICK_S
         verdict.decide(Situation(dark, 3, {}, others), now)
@@ -101,7 +101,7 @@
 def check_minutes(changes, most):
     times = [at for at, _, _ in changes]
     for at in times:
-        minute = [one for one in times if at <= one < at + CALM_S]
+        minute = [one for one in times if at <= one < at + FLAP_WINDOW_S]
         assert len(minute) <= most, minute
 
 
@@ -115,7 +115,7 @@
         for (out, _, _), (back, _, serving) in zip(
             changes[::2], changes[1::2], strict=False
         ):
-            assert back - out >= HOLD_S or not serving
+            assert back - out >= MIN_WITHDRAWN_S or not serving
 
     check()
     check_minutes(list_changes(play_worst()), most)
