--- a/cornelgap/decisions/flow_health.py
+++ b/cornelgap/decisions/flow_health.py
@@ -43,10 +43,10 @@
 possibly through an instance that has not told this one."""
 
 OPENING_WEIGHT = 0
-FIRST_WEIGHT = 1
-SECOND_WEIGHT = 2
-SILENT_WEIGHT = 5
-SILENT_S = 0.4
+FIRST_REPEAT_WEIGHT = 1
+SECOND_REPEAT_WEIGHT = 2
+MIN_SILENT_WEIGHT = 5
+MIN_SILENT_S = 0.4
 """Total weight of repeats, and time without any answer, from which on the
 flows of a target are given up: one second repeat and first repeats of three
 more flows, or three second repeats.  First repeats alone are not enough: a
@@ -121,15 +121,15 @@
                 AVOID_S, record.avoided, LONGEST_AVOID_S
             )
         if (
-            self._is_enough(record, recent, away)
-            and now - record.answered_at >= SILENT_S
+            self._has_enough_evidence(record, recent, away)
+            and now - record.answered_at >= MIN_SILENT_S
         ):
             if now >= record.silent_until:
                 record.probe_at = now + PROBE_S
             record.silent_until = now + SILENT_HOLD_S
         return True
 
-    def _is_enough(self, record, recent, away):
+    def _has_enough_evidence(self, record, recent, away):
         """Return whether recent repeats show that a target is silent.
 
         An instance has few flows to a single target of another zone, and
@@ -137,7 +137,7 @@
         several targets have shown that the zone is unreachable, one second
         repeat is enough.
         """
-        if SECOND_WEIGHT not in recent:
+        if SECOND_REPEAT_WEIGHT not in recent:
             return False
         if away:
             return True
@@ -146,19 +146,22 @@
             for (instance, _), (_, weight) in record.repeats.items()
             if weight
         }
-        return sum(recent) >= SILENT_WEIGHT and len(instances) >= self.witnesses
+        return (
+            sum(recent) >= MIN_SILENT_WEIGHT
+            and len(instances) >= self.witnesses
+        )
 
-    def note_answer(self, key, answered_at, told=False):
+    def note_answer(self, key, answered_at, reported=False):
         """Record that a target has answered.
 
         :param answered_at: time of the answer; lies in the past if the
             caller acknowledged it late.
-        :param told: whether another instance reported the answer.
+        :param reported: whether another instance reported the answer.
         """
         record = self._records.get(key)
         if record is None:
             record = self._records[key] = _Record()
-        if not told:
+        if not reported:
             record.shown_at = max(record.shown_at, answered_at)
         if answered_at <= record.answered_at:
             return
@@ -178,10 +181,10 @@
         would give it up.
 
         :returns: seconds; None without an answer in the last
-            :data:`SILENT_S`.
+            :data:`MIN_SILENT_S`.
         """
         record = self._records.get(key)
-        if record is None or now - record.shown_at >= SILENT_S:
+        if record is None or now - record.shown_at >= MIN_SILENT_S:
             return None
         return now - record.shown_at
 
@@ -220,7 +223,7 @@
 def _compute_weight(again, opening):
     if opening:
         return OPENING_WEIGHT
-    return SECOND_WEIGHT if again else FIRST_WEIGHT
+    return SECOND_REPEAT_WEIGHT if again else FIRST_REPEAT_WEIGHT
 
 
 def _prune_repeats(record, now):
--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -206,7 +206,7 @@
         """
         for cookie, answered_at in evidence.list_answers(now):
             target = by_cookie.get(cookie)
-            self._take_answer(cookie, target, answered_at, told=True)
+            self._take_answer(cookie, target, answered_at, reported=True)
         alive = Evidence()
         for cookie, number, again, opening in evidence.list_repeats():
             age = self._health.find_answer(cookie, now)
@@ -274,9 +274,9 @@
         self.silent = silent
         return fresh
 
-    def _take_answer(self, cookie, target, answered_at, told=False):
+    def _take_answer(self, cookie, target, answered_at, reported=False):
         """Note an answer; return since when its zone was away, if it was."""
-        self._health.note_answer(cookie, answered_at, told)
+        self._health.note_answer(cookie, answered_at, reported)
         if target is None:
             return None
         away_since = self._reach.note_answer(target.zone, answered_at)
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -93,14 +93,17 @@
     patches.set_attr(
         flow_health.FlowHealth,
         'note_answer',
-        lambda self, key, answered_at, told=False: None,
+        lambda self, key, answered_at, reported=False: None,
     )
 
 
 def pass_on_told_answers(patches):
     def find_answer(self, key, now):
         record = self._records.get(key)
-        if record is None or now - record.answered_at >= flow_health.SILENT_S:
+        if (
+            record is None
+            or now - record.answered_at >= flow_health.MIN_SILENT_S
+        ):
             return None
         return 0
 
@@ -108,7 +111,9 @@
 
 
 def count_first_repeats(patches):
-    patches.set_attr(flow_health, 'FIRST_WEIGHT', flow_health.SECOND_WEIGHT)
+    patches.set_attr(
+        flow_health, 'FIRST_REPEAT_WEIGHT', flow_health.SECOND_REPEAT_WEIGHT
+    )
 
 
 def trust_only_good(patches):
@@ -214,10 +219,10 @@
 def judge_far_targets_alone(patches):
     def is_enough(self, record, recent, away):
         weight = sum(recent)
-        second = flow_health.SECOND_WEIGHT in recent
-        return second and weight >= flow_health.SILENT_WEIGHT
+        second = flow_health.SECOND_REPEAT_WEIGHT in recent
+        return second and weight >= flow_health.MIN_SILENT_WEIGHT
 
-    patches.set_attr(flow_health.FlowHealth, '_is_enough', is_enough)
+    patches.set_attr(flow_health.FlowHealth, '_has_enough_evidence', is_enough)
 
 
 def trust_young_verdict(patches):
@@ -394,7 +399,9 @@
 
 
 def weigh_openings(patches):
-    patches.set_attr(flow_health, 'OPENING_WEIGHT', flow_health.SECOND_WEIGHT)
+    patches.set_attr(
+        flow_health, 'OPENING_WEIGHT', flow_health.SECOND_REPEAT_WEIGHT
+    )
 
 
 def admit_everything(patches):
