--- a/cornelgap/decisions/flow_health.py
+++ b/cornelgap/decisions/flow_health.py
@@ -87,7 +87,7 @@
 class FlowHealth:
     """Tracks repeats and answers per target; keys are any hashable names.
 
-    :ivar witnesses: number of instances that must see repeats before a
+    :ivar min_reporters: number of instances that must see repeats before a
         target counts as silent.  An instance whose own link loses packets
         sees no answer from any target; by itself it would reset all flows.
     """
@@ -95,7 +95,7 @@
     def __init__(self):
         """Start with no evidence against any target."""
         self._records = {}
-        self.witnesses = 1
+        self.min_reporters = 1
 
     def note_repeat(
         self, key, flow, now, again=False, away=False, opening=False
@@ -148,7 +148,7 @@
         }
         return (
             sum(recent) >= MIN_SILENT_WEIGHT
-            and len(instances) >= self.witnesses
+            and len(instances) >= self.min_reporters
         )
 
     def note_answer(self, key, answered_at, reported=False):
--- a/cornelgap/decisions/zone_reach.py
+++ b/cornelgap/decisions/zone_reach.py
@@ -55,7 +55,7 @@
 class ZoneReach:
     """Tracks which availability zones are reachable.
 
-    :ivar witnesses: number of instances that must see repeats before a zone
+    :ivar min_reporters: number of instances that must see repeats before a zone
         counts as unreachable.
     :ivar instances: number of instances of the own zone that take turns to
         probe.
@@ -65,7 +65,7 @@
     def __init__(self):
         """Start with all zones reachable."""
         self._zones = {}
-        self.witnesses = 1
+        self.min_reporters = 1
         self.instances = 1
         self.rank = 0
 
@@ -85,7 +85,7 @@
         targets = {silent for silent, _ in record.repeats}
         instances = {reporter for _, reporter in record.repeats}
         enough_targets = len(targets) >= SILENT_TARGETS
-        enough_instances = len(instances) >= self.witnesses
+        enough_instances = len(instances) >= self.min_reporters
         unanswered = now - record.answered_at >= ANSWER_S
         if (
             enough_targets
--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -98,8 +98,8 @@
 
         :param rank: how many of them precede this one.
         """
-        self._health.witnesses = 2 if count >= WITNESSED else 1
-        self._reach.witnesses = self._health.witnesses
+        self._health.min_reporters = 2 if count >= WITNESSED else 1
+        self._reach.min_reporters = self._health.min_reporters
         self._reach.instances = count
         self._reach.rank = rank
 
