--- a/cornelgap/decisions/path_loss.py
+++ b/cornelgap/decisions/path_loss.py
@@ -40,8 +40,8 @@
 delayed or lost.  A shorter time is work that ended soon after the first
 repeat."""
 
-SURE_SHARE = 0.05
-LEAST_SURE = 2
+MIN_CONFIRMED_SHARE = 0.05
+MIN_CONFIRMED = 2
 """Share and number of the repeats that must be second repeats or answered
 late.  With fewer, the others may be due to long work.  If a tenth of all
 packets is lost, so is a tenth of the repeats."""
@@ -132,7 +132,7 @@
             return False
         if repeats < MIN_REPEAT_RATIO * len(self._requests):
             return False
-        if self._confirmed < max(LEAST_SURE, SURE_SHARE * repeats):
+        if self._confirmed < max(MIN_CONFIRMED, MIN_CONFIRMED_SHARE * repeats):
             return False
         return len(self._lost_by_target) >= MIN_TARGETS
 
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -388,8 +388,8 @@
 
 
 def blame_way_for_work(patches):
-    patches.set_attr(path_loss, 'SURE_SHARE', 0)
-    patches.set_attr(path_loss, 'LEAST_SURE', 0)
+    patches.set_attr(path_loss, 'MIN_CONFIRMED_SHARE', 0)
+    patches.set_attr(path_loss, 'MIN_CONFIRMED', 0)
 
 
 def weigh_all_repeats(patches):
