--- a/cornelgap/decisions/target_outliers.py
+++ b/cornelgap/decisions/target_outliers.py
@@ -28,7 +28,7 @@
 this time, enough to tell a failure rate of one half from a few lost
 packets."""
 
-SPREAD = 4.0
+MAX_DEVIATIONS = 4.0
 """Standard deviations by which failures must exceed the number expected from
 the median of the peers.  The variance is that of a random (Poisson) count,
 plus one failure, since the median of a few peers is inexact: if the peers
@@ -48,7 +48,7 @@
 """Time after which the doubling starts anew, counted from the end of the last
 avoidance."""
 
-MOST_SHARE = 0.34
+MAX_AVOIDED_SHARE = 0.34
 """Largest share of a service's targets that may be avoided at a time.  The
 others must carry their load, and if more targets fail, the cause is rarely
 the targets themselves."""
@@ -103,8 +103,8 @@
         record = self._records.setdefault(key, _Record())
         record.recent.append((now, outcomes))
 
-    def judge(self, keys, now):
-        """Find the outliers among the targets of one service.
+    def avoid_outliers(self, keys, now):
+        """Find the outliers among the targets of one service, and avoid them.
 
         :param keys: the keys of all its targets.
         :returns: keys of the targets that are avoided from now on.
@@ -122,14 +122,14 @@
         if len(shares) < 2:
             return []
         ordered = sorted(shares.values())
-        allowed = MOST_SHARE * len(keys)
+        allowed = MAX_AVOIDED_SHARE * len(keys)
         allowed -= sum(self.is_avoided(key, now) for key in keys)
         outliers = []
         for key in sorted(shares, key=shares.get, reverse=True):
             if len(outliers) + 1 > allowed:
                 break
             median = find_median_without(ordered, shares[key])
-            if stands_out(sums[key], median) and not self.is_avoided(key, now):
+            if is_outlier(sums[key], median) and not self.is_avoided(key, now):
                 self._avoid(self._records[key], now)
                 outliers.append(key)
         return outliers
@@ -179,14 +179,14 @@
         record.recent.clear()
 
 
-def stands_out(outcomes, median):
+def is_outlier(outcomes, median):
     """Return whether a target fails more than chance or its load explains.
 
     :param outcomes: its :class:`Outcomes`.
     :param median: median share of failed requests of its peers.
     """
     expected = outcomes.total * median
-    if outcomes.failed <= expected + SPREAD * math.sqrt(expected + 1):
+    if outcomes.failed <= expected + MAX_DEVIATIONS * math.sqrt(expected + 1):
         return False
     return not is_full(outcomes)
 
--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -175,7 +175,7 @@
         for targets in by_service.values():
             cookies = [target.cookie for target in targets]
             if not outcomes.keys().isdisjoint(cookies):
-                self._outliers.judge(cookies, now)
+                self._outliers.avoid_outliers(cookies, now)
 
     def note_answer(self, cookie, target, answered_at, opened_at, now):
         """Note since when a target is known to have answered.
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -166,8 +166,10 @@
 
 def compare_with_nobody(patches):
     patches.replace_function(
-        target_outliers.stands_out,
-        lambda outcomes, usual: outcomes.failed > target_outliers.SPREAD,
+        target_outliers.is_outlier,
+        lambda outcomes, usual: (
+            outcomes.failed > target_outliers.MAX_DEVIATIONS
+        ),
     )
 
 
@@ -176,7 +178,7 @@
 
 
 def avoid_any_share(patches):
-    patches.set_attr(target_outliers, 'MOST_SHARE', 1)
+    patches.set_attr(target_outliers, 'MAX_AVOIDED_SHARE', 1)
 
 
 def avoid_for_good(patches):
