--- a/cornelgap/decisions/cold_starts.py
+++ b/cornelgap/decisions/cold_starts.py
@@ -30,7 +30,7 @@
 WINDOW_S = 1.0
 """Sliding window in which flows are counted."""
 
-GIVEN_PART = 2
+BUDGET_DIVISOR = 2
 """Divisor of the budget: half of it is distributed to the owners, since two
 sets of owners may be active at a time."""
 
@@ -69,7 +69,7 @@
     :param budget: flows that the target may get in any second.
     :returns: tuple (names of the owners, flows a second for each of them).
     """
-    distributed = budget // GIVEN_PART
+    distributed = budget // BUDGET_DIVISOR
     count = min(len(names), distributed, MAX_OWNERS)
     if not count:
         return frozenset(), 0
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -347,7 +347,7 @@
 
 
 def give_whole_budget(patches):
-    patches.set_attr(cold_starts, 'GIVEN_PART', 1)
+    patches.set_attr(cold_starts, 'BUDGET_DIVISOR', 1)
 
 
 def own_when_young(patches):
