--- a/cornelgap/decisions/health.py
+++ b/cornelgap/decisions/health.py
@@ -98,7 +98,7 @@
             return HealthState.EJECTED
         return HealthState.PROBING if record.probes_left else HealthState.GOOD
 
-    def read_returned_at(self, target):
+    def read_ejection_end(self, target):
         """Return the end of the last ejection, or None if there was none."""
         record = self._records.get(target)
         return None if record is None else record.ejected_until
--- a/cornelgap/decisions/placement.py
+++ b/cornelgap/decisions/placement.py
@@ -258,7 +258,7 @@
 
     def _compute_ramp_share(self, name, now):
         since = self._loads[name].since
-        returned = self._health.read_returned_at(name)
+        returned = self._health.read_ejection_end(name)
         if since is None and returned is None:
             return 1.0
         return min(compute_share(now, since), compute_share(now, returned))
