--- a/cornelgap/decisions/target_outliers.py
+++ b/cornelgap/decisions/target_outliers.py
@@ -41,8 +41,8 @@
 AVOID_S = 2.0
 LONGEST_AVOID_S = 8.0
 """Time without new flows, doubled each time that the target becomes an
-outlier again within :data:`BACKOFF_RESET_S`.  New flows after it show whether the
-target has recovered."""
+outlier again within :data:`BACKOFF_RESET_S`.  New flows after it show whether
+the target has recovered."""
 
 BACKOFF_RESET_S = 10.0
 """Time after which the doubling starts anew, counted from the end of the last
