--- a/bench/flow_placement.py
+++ b/bench/flow_placement.py
@@ -136,8 +136,8 @@
         )
         for one in world.targets
     ]
-    poured = 1 + rate * (world.instances - 1) * NEWS_S
-    return choose_target(candidates, poured, world.rng).cookie
+    expected_flows = 1 + rate * (world.instances - 1) * NEWS_S
+    return choose_target(candidates, expected_flows, world.rng).cookie
 
 
 def place_idlest_heard(world, instance, flow):
--- a/cornelgap/decisions/target_choice.py
+++ b/cornelgap/decisions/target_choice.py
@@ -54,20 +54,20 @@
     cold: bool
 
 
-class Vessel(Struct, frozen=True):
+class Destination(Struct, frozen=True):
     """A target, or all targets of a zone, to distribute flows over.
 
-    :param cost: its load, in flows per slot.
+    :param load: open and waiting flows per slot.
     :param slots: requests that it serves at once.
-    :param content: the candidate, or the vessels of the zone's candidates.
+    :param item: the candidate, or the destinations of the zone's candidates.
     """
 
-    cost: float
+    load: float
     slots: int
-    content: object
+    item: object
 
 
-def measure_cost(candidate):
+def compute_load(candidate):
     """Return the load of a target, in flows per slot."""
     slots = max(1, candidate.target.slots)
     load = (candidate.flows + candidate.waiting) / slots
@@ -78,71 +78,77 @@
     return load
 
 
-def choose_target(candidates, poured, rng):
+def choose_target(candidates, expected_flows, rng):
     """Choose the target of a new flow; None if there are no candidates.
 
     :param candidates: list of :class:`Candidate`.
-    :param poured: flows that all instances of the zone are expected to open
+    :param expected_flows: flows that the zone's instances are expected to open
         before the next report, including the one being placed.
     :param rng: random generator.
     """
     if not candidates:
         return None
-    vessels = [_make_vessel(item) for item in candidates]
-    ordered = sorted(vessels, key=_get_zone)
+    destinations = [_make_destination(item) for item in candidates]
+    ordered = sorted(destinations, key=_get_zone)
     zones = [
         _make_zone(list(members))
         for _, members in groupby(ordered, key=_get_zone)
     ]
-    zone = pour(zones, poured, rng)
-    return pour(zone.content, poured, rng).content.target
+    zone = draw_destination(zones, expected_flows, rng)
+    return draw_destination(zone.item, expected_flows, rng).item.target
 
 
-def _make_vessel(candidate):
+def _make_destination(candidate):
     slots = max(1, candidate.target.slots)
-    return Vessel(measure_cost(candidate), slots, candidate)
+    return Destination(compute_load(candidate), slots, candidate)
 
 
-def _get_zone(vessel):
-    return vessel.content.target.zone
+def _get_zone(destination):
+    return destination.item.target.zone
 
 
 def _make_zone(members):
     slots = sum(member.slots for member in members)
-    load = sum(member.cost * member.slots for member in members) / slots
-    if not members[0].content.near:
+    load = sum(member.load * member.slots for member in members) / slots
+    if not members[0].item.near:
         load = load * FAR_FACTOR + OTHER_ZONE_FLOWS_PER_SLOT
-    return Vessel(load, slots, members)
+    return Destination(load, slots, members)
 
 
-def pour(vessels, poured, rng):
-    """Draw one of the vessels, weighted by water-filling.
+def draw_destination(destinations, expected_flows, rng):
+    """Draw one of the destinations, weighted by water-filling.
 
-    :param vessels: at least one :class:`Vessel`.
-    :param poured: flows to distribute; values below 1 count as 1.
+    :param destinations: at least one :class:`Destination`.
+    :param expected_flows: flows to distribute; values below 1 count as 1.
     """
-    if len(vessels) == 1:
-        return vessels[0]
+    if len(destinations) == 1:
+        return destinations[0]
     ranked = sorted(
-        ((vessel.cost, rng.random(), vessel) for vessel in vessels),
+        (
+            (destination.load, rng.random(), destination)
+            for destination in destinations
+        ),
         key=lambda entry: entry[:2],
     )
-    level = _find_level(ranked, max(poured, 1.0))
-    shares = [max(0, level - load) * vessel.slots for load, _, vessel in ranked]
+    level = _find_level(ranked, max(expected_flows, 1.0))
+    shares = [
+        max(0, level - load) * destination.slots
+        for load, _, destination in ranked
+    ]
     return rng.choices(ranked, shares)[0][2]
 
 
-def _find_level(ranked, poured):
-    """Return the load, in flows per slot, up to which vessels are filled.
+def _find_level(ranked, expected_flows):
+    """Return the load, in flows per slot, up to which targets are filled.
 
-    :param ranked: tuples of load, tie breaker and vessel, by rising load.
+    :param ranked: tuples of load, tie breaker and destination, by rising load.
     """
     slots = 0
     total_load = 0
-    for position, (load, _, vessel) in enumerate(ranked):
-        slots += vessel.slots
-        total_load += load * vessel.slots
-        level = (total_load + poured) / slots
+    for position, (load, _, destination) in enumerate(ranked):
+        slots += destination.slots
+        total_load += load * destination.slots
+        level = (total_load + expected_flows) / slots
         last = position + 1 == len(ranked)
         if last or level <= ranked[position + 1][0]:
             return level
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -124,8 +124,8 @@
 
 
 def take_the_idlest(patches):
-    def choose_target(candidates, poured, rng):
-        return min(candidates, key=target_choice.measure_cost).target
+    def choose_target(candidates, expected_flows, rng):
+        return min(candidates, key=target_choice.compute_load).target
 
     patches.replace_function(target_choice.choose_target, choose_target)
 
@@ -135,13 +135,17 @@
         near = item.near
         return (1, 0) if near else (target_choice.FAR_FACTOR, 2)
 
-    def choose_target(candidates, poured, rng):
-        vessels = []
+    def choose_target(candidates, expected_flows, rng):
+        destinations = []
         for item in candidates:
             factor, more = get_factor(item)
-            cost = target_choice.measure_cost(item) * factor + more
-            vessels.append(target_choice.Vessel(cost, item.target.slots, item))
-        return target_choice.pour(vessels, poured, rng).content.target
+            load = target_choice.compute_load(item) * factor + more
+            destinations.append(
+                target_choice.Destination(load, item.target.slots, item)
+            )
+        return target_choice.draw_destination(
+            destinations, expected_flows, rng
+        ).item.target
 
     patches.replace_function(target_choice.choose_target, choose_target)
 
