--- a/bench/flow_placement.py
+++ b/bench/flow_placement.py
@@ -131,7 +131,7 @@
             one,
             own[one.cookie] + world.seen[one.cookie] - told[one.cookie],
             0,
-            near=True,
+            same_zone=True,
             cold=False,
         )
         for one in world.targets
--- a/cornelgap/decisions/target_choice.py
+++ b/cornelgap/decisions/target_choice.py
@@ -28,7 +28,7 @@
 COLD_LOAD_FACTOR = 1.6
 """How many times slower a target works just after its start."""
 
-FAR_FACTOR = 1.5
+OTHER_ZONE_LOAD_FACTOR = 1.5
 OTHER_ZONE_FLOWS_PER_SLOT = 2.0
 """Factor and surcharge on the load of a target in another zone.
 
@@ -43,14 +43,14 @@
     :param target: its record in the directory, with slots and zone.
     :param flows: open flows on it that this instance knows of.
     :param waiting: how many of these flows are waiting for an answer.
-    :param near: whether it is in the availability zone of this instance.
+    :param same_zone: whether it is in the availability zone of this instance.
     :param cold: whether it has just started.
     """
 
     target: object
     flows: float
     waiting: float
-    near: bool
+    same_zone: bool
     cold: bool
 
 
@@ -110,8 +110,8 @@
 def _make_zone(members):
     slots = sum(member.slots for member in members)
     load = sum(member.load * member.slots for member in members) / slots
-    if not members[0].item.near:
-        load = load * FAR_FACTOR + OTHER_ZONE_FLOWS_PER_SLOT
+    if not members[0].item.same_zone:
+        load = load * OTHER_ZONE_LOAD_FACTOR + OTHER_ZONE_FLOWS_PER_SLOT
     return Destination(load, slots, members)
 
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -422,7 +422,7 @@
             target,
             load.flows + self._others.get(target.cookie, 0),
             load.waiting,
-            near=target.zone == self._zone,
+            same_zone=target.zone == self._zone,
             cold=self.view.is_cold(target, now),
         )
 
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -132,8 +132,10 @@
 
 def choose_among_all(patches):
     def get_factor(item):
-        near = item.near
-        return (1, 0) if near else (target_choice.FAR_FACTOR, 2)
+        same_zone = item.same_zone
+        return (
+            (1, 0) if same_zone else (target_choice.OTHER_ZONE_LOAD_FACTOR, 2)
+        )
 
     def choose_target(candidates, expected_flows, rng):
         destinations = []
