--- a/cornelgap/decisions/placement.py
+++ b/cornelgap/decisions/placement.py
@@ -275,7 +275,7 @@
             if state is not TargetState.DRAINING
             and self._loads[name].flows < self._limit_flows(name)
         }
-        reachable = self._leave_out_dark_zones(serving)
+        reachable = self._exclude_failed_zones(serving)
         healthy = [
             name
             for name, state in reachable.items()
@@ -287,7 +287,7 @@
             return list(reachable)
         return healthy
 
-    def _leave_out_dark_zones(self, serving):
+    def _exclude_failed_zones(self, serving):
         # A network partition between zones makes all targets of the other
         # zones look bad at once.  The panic threshold would then send most
         # flows to unreachable targets.  Good targets in the own zone show
--- a/features/proofs/switches.py
+++ b/features/proofs/switches.py
@@ -242,7 +242,7 @@
 def keep_dark_zones(patches):
     patches.set_attr(
         placement.Placement,
-        '_leave_out_dark_zones',
+        '_exclude_failed_zones',
         lambda self, serving: serving,
     )
 
