--- a/cornelgap/decisions/following.py
+++ b/cornelgap/decisions/following.py
@@ -18,10 +18,10 @@
 
 from msgspec import Struct
 
-SHORTEST_WAIT_S = 0.5
+MIN_WATCH_WAIT_S = 0.5
 """Shortest wait of a watch; each watch is a billed call."""
 
-MAX_WAIT_S = 5.0
+MAX_WATCH_WAIT_S = 5.0
 """Longest wait of a watch; bounds how long a silent connection is unnoticed."""
 
 STALENESS_MARGIN_S = 0.5
@@ -54,15 +54,15 @@
 """How long another instance must have followed before this one stops."""
 
 
-def compute_wait(bound_s):
+def compute_max_watch_wait(bound_s):
     """Return the longest wait of a watch, in seconds.
 
     :param bound_s: seconds within which a change must be in force.
     """
-    return max(SHORTEST_WAIT_S, min(bound_s / 3, MAX_WAIT_S))
+    return max(MIN_WATCH_WAIT_S, min(bound_s / 3, MAX_WATCH_WAIT_S))
 
 
-class Following(Struct):
+class FollowerRole(Struct):
     """Decides whether this instance follows the store.
 
     :param wait_s: longest wait of a watch, in seconds.
@@ -95,11 +95,11 @@
             if since is not None and now - since >= HANDBACK_DELAY_S:
                 self.active = False
         elif now - self.started_at >= START_DELAY_S:
-            waited_s = self._compute_wait(now, age_s)
+            waited_s = self._compute_news_wait(now, age_s)
             self.active = rank == 0 or waited_s > self.compute_max_age(rank)
         return self.active
 
-    def _compute_wait(self, now, age_s):
+    def _compute_news_wait(self, now, age_s):
         """Return how long this instance has waited for news, in seconds.
 
         When a system starts for the first time, there is no configuration and
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from cornelgap.core.errors import CodedError
-from cornelgap.decisions.following import Following
+from cornelgap.decisions.following import FollowerRole
 from cornelgap.decisions.pacing import Pacer
 from cornelgap.forwarding import intake
 from cornelgap.forwarding import peer_messages as peers
@@ -119,7 +119,7 @@
         """Open the socket; know nothing yet."""
         super().__init__(own.name, DIRECTORY)
         self._own = own
-        self._following = Following(wait_s, read_clock())
+        self._follower_role = FollowerRole(wait_s, read_clock())
         self._directory = Directory(wait_s)
         self._neighbours = Neighbours(own, seeds, rng)
         self._sock = open_socket((own.host, port))
@@ -280,7 +280,7 @@
         if not self._directory.complete:
             return
         hosts = []
-        if self._following.active or self._neighbours.is_hub:
+        if self._follower_role.active or self._neighbours.is_hub:
             hosts = self._neighbours.list_all_near()
         if hosts:
             now = self._turn_at
@@ -357,7 +357,7 @@
             parts['members'] = neighbours.list_members(now, own_zone)
         parts.update(self._reports.report(now))
         hosts = neighbours.list_near_hosts()
-        if self._following.active:
+        if self._follower_role.active:
             hosts = neighbours.list_all_near()
         self._send_beat(hosts, own_zone, **parts)
         far_hosts = neighbours.list_far_hosts(now)
@@ -383,12 +383,12 @@
 
     def _decide_following(self, now):
         neighbours = self._neighbours
-        before = self._following.active
-        active = self._following.decide(
+        before = self._follower_role.active
+        active = self._follower_role.decide(
             now,
             neighbours.compute_rank(),
             self._directory.compute_age(now),
-            neighbours.find_follower(now, self._following.is_fresh),
+            neighbours.find_follower(now, self._follower_role.is_fresh),
         )
         if active != before:
             _LOG.info(
@@ -405,11 +405,11 @@
     def _send_beat(self, hosts, zone, **parts):
         if zone == self._own.zone:
             parts.update(self._standing.report(self._turn_at))
-        following = self._following.active
+        following = self._follower_role.active
         self._beats.send(hosts, zone, following, self._turn_at, **parts)
 
     def _adopt_settings(self, message):
-        self._following.wait_s = message.wait_s
+        self._follower_role.wait_s = message.wait_s
         self._directory.set_wait(message.wait_s)
         self._neighbours.set_seeds(message.seeds)
         self._neighbours.capacity = message.capacity
@@ -446,7 +446,7 @@
             'config_version': directory.routes_stamp.version,
             'targets': len(directory.list_targets()),
             'zone_withdrawn': int(self._standing.withdrawn),
-            'follows_store': int(self._following.active),
+            'follows_store': int(self._follower_role.active),
             'instances': self._neighbours.count_zone(),
             'zone_drained': dict.fromkeys(directory.list_drained(), 1),
         }
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 
 from cornelgap.decisions.cold_starts import ColdStarts
-from cornelgap.decisions.following import compute_wait
+from cornelgap.decisions.following import compute_max_watch_wait
 from cornelgap.forwarding import fetcher
 from cornelgap.forwarding.directory_actor import (
     DIRECTORY,
@@ -211,7 +211,7 @@
 
 def compute_watch_wait(settings):
     """Return the longest wait of a watch, seconds."""
-    return compute_wait(min(settings.apply_s, settings.drain_s))
+    return compute_max_watch_wait(min(settings.apply_s, settings.drain_s))
 
 
 def end_crashed(name):
--- a/cornelgap/platform/settings.py
+++ b/cornelgap/platform/settings.py
@@ -6,7 +6,7 @@
 
 from cornelgap.core.errors import Code, CodedError
 from cornelgap.decisions.cold_starts import ColdLimit
-from cornelgap.decisions.following import SHORTEST_WAIT_S
+from cornelgap.decisions.following import MIN_WATCH_WAIT_S
 
 VARIABLE = 'CORNELGAP_CONFIG'
 """Environment variable with the path of the file."""
@@ -14,7 +14,7 @@
 LARGEST = 10**9
 """Largest number that is read; sums and products of such numbers are finite."""
 
-SHORTEST_MS = int(SHORTEST_WAIT_S * 1000)
+SHORTEST_MS = int(MIN_WATCH_WAIT_S * 1000)
 """Shortest bound, milliseconds: a watch must not wait for longer."""
 
 TEXT_LENGTH = 80
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -196,13 +196,13 @@
     def decide(self, now, rank, age_s, other_follows):
         return self.active
 
-    patches.set_attr(following.Following, 'decide', decide)
+    patches.set_attr(following.FollowerRole, 'decide', decide)
 
 
 def follow_without_facts(patches):
     patches.set_attr(
-        following.Following,
-        '_compute_wait',
+        following.FollowerRole,
+        '_compute_news_wait',
         lambda self, now, age_s: age_s,
     )
 
--- a/features/proofs/forwarding_stories.py
+++ b/features/proofs/forwarding_stories.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from cornelgap.core.errors import CodedError
-from cornelgap.decisions.following import Following
+from cornelgap.decisions.following import FollowerRole
 from cornelgap.forwarding import packets as pkt
 from cornelgap.forwarding import peer_messages
 from cornelgap.forwarding.packets import Drop
@@ -324,7 +324,7 @@
 
 def play_deaf_follower():
     """The store no longer tells the one that follows it, without an error."""
-    others = [Following(1, active=False) for _ in range(3)]
+    others = [FollowerRole(1, active=False) for _ in range(3)]
     age = 0
     while age < 2.4 and not any(other.active for other in others):
         age += 0.05
@@ -343,7 +343,7 @@
     The first instance by rank hears of one when it begins to follow, and
     tells the others a moment later.
     """
-    starting = [Following(1, started_at=100) for _ in range(20)]
+    starting = [FollowerRole(1, started_at=100) for _ in range(20)]
     followed = set()
     step_s = 0.05
     for step in range(80):
@@ -362,7 +362,7 @@
 
 def play_deaf_at_first_start():
     """The first instance by rank never tells of a configuration."""
-    others = [Following(1, started_at=100) for _ in range(3)]
+    others = [FollowerRole(1, started_at=100) for _ in range(3)]
     for step in range(100):
         now = 100 + step * 0.05
         for rank, other in enumerate(others, start=1):
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -20,7 +20,7 @@
 
 from bench.procs import pick_ports, wait_for
 from cornelgap.decisions.cold_starts import ColdLimit, ColdStarts
-from cornelgap.decisions.following import Following
+from cornelgap.decisions.following import FollowerRole
 from cornelgap.forwarding import peer_messages as peers
 from cornelgap.forwarding.directory import Directory
 from cornelgap.forwarding.directory_actor import (
@@ -293,8 +293,8 @@
     'facts that are {age_s:d} s old are fresh, and no outage of the store is seen'
 )
 def check_fresh(context, age_s):
-    assert not Following(wait_s=1).is_fresh(age_s)
-    assert context.actor._following.is_fresh(age_s)
+    assert not FollowerRole(wait_s=1).is_fresh(age_s)
+    assert context.actor._follower_role.is_fresh(age_s)
     for directory in (context.directory, context.actor._directory):
         assert directory.adopt_routes([], ConfigStamp(1), 0)
         target = make_target(1)
