--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -145,15 +145,15 @@
         stamp = Stamp(1, 3)
 
         def work():
-            members.note_listed(clock[0], listed)
+            members.update_from_list(clock[0], listed)
             for step in range(int(SIM_S / TICK_S)):
                 clock[0] += TICK_S
                 now = clock[0]
                 for name in members.choose_pings(now):
-                    members.note_heard(now, name, 7, stamp, False, 'api')
+                    members.record_datagram(now, name, 7, stamp, False, 'api')
                 if step % 5 == 0:
-                    members.list_ahead(stamp)
-                    members.has_unknown()
+                    members.list_newer_peers(stamp)
+                    members.has_missing_address()
                 if step % 50 == 0:
                     members.list_live_instances(now)
 
--- a/cornelgap/decisions/membership.py
+++ b/cornelgap/decisions/membership.py
@@ -118,7 +118,7 @@
         """
         return cls(own, zone, rng or random.Random(own))
 
-    def note_listed(self, now, instances):
+    def update_from_list(self, now, instances):
         """Update the peers from the platform's instance list.
 
         :param instances: :class:`cornelgap.core.control.Instance` items.
@@ -140,7 +140,7 @@
             )
         self._remove_silent(now)
 
-    def note_hinted(self, now, instances):
+    def add_peer_hints(self, now, instances):
         """Add peers that another peer knows of.
 
         Only missing fields are filled in: the platform's list and a peer's
@@ -156,7 +156,7 @@
             peer.address = peer.address or instance.address
             peer.api = peer.api or instance.api
 
-    def note_heard(self, now, name, boot, stamp, leaving, api, address=''):
+    def record_datagram(self, now, name, boot, stamp, leaving, api, address=''):
         """Record an authenticated datagram from a peer.
 
         :param boot: boot nonce of the process that sent it.
@@ -185,7 +185,7 @@
         peer.unanswered_since = None
         peer.unanswered_probes = 0
 
-    def note_adopted(self, now, stamp):
+    def record_adoption(self, now, stamp):
         """Record that this instance has a new configuration in force.
 
         Peers with an older one become due for a ping at once, rather than up
@@ -194,10 +194,10 @@
         self._own_stamp = stamp
         self._adopted_at = now
 
-    def note_sent(self, now, name):
+    def record_probe(self, now, name):
         """Record that a peer was sent a datagram that it has to answer."""
         if name != self.own:
-            self._record_probe(now, self._get_or_add_peer(now, name))
+            self._count_probe(now, self._get_or_add_peer(now, name))
 
     def is_lost(self, now, name, boot):
         """Return whether the process with this name and boot is gone.
@@ -242,7 +242,7 @@
         self._ping_tokens -= len(chosen)
         names = [item[-1] for item in chosen]
         for name in names:
-            self._record_probe(now, self._peers[name])
+            self._count_probe(now, self._peers[name])
         return names
 
     def list_live(self, now):
@@ -266,7 +266,7 @@
             for peer in peers
         ]
 
-    def list_ahead(self, stamp):
+    def list_newer_peers(self, stamp):
         """Return the peers with a newer configuration than ``stamp``.
 
         :returns: list of :class:`cornelgap.core.control.PeerRevision`.
@@ -279,7 +279,7 @@
             if peer.stamp > stamp
         ]
 
-    def has_unknown(self):
+    def has_missing_address(self):
         """Return whether a peer that was probed has no known address."""
         return any(
             peer.unanswered_probes and not peer.address
@@ -324,7 +324,7 @@
             self._peers[name] = peer
         return peer
 
-    def _record_probe(self, now, peer):
+    def _count_probe(self, now, peer):
         if now - peer.last_probe_at < PROBE_RETRY_S and peer.unanswered_probes:
             # A burst of relayed packets may be lost as a whole, so it counts
             # as one probe.
--- a/cornelgap/entry/engine.py
+++ b/cornelgap/entry/engine.py
@@ -107,7 +107,7 @@
         :returns: effects.
         """
         if adopt_cfg(self.state, now, cfg):
-            self.state.membership.note_adopted(now, cfg.stamp)
+            self.state.membership.record_adoption(now, cfg.stamp)
         return self.state.take_effects()
 
     def note_instances(self, now, entries, leaving_targets):
@@ -116,13 +116,13 @@
         :param entries: live entry instances as membership takes them.
         :param leaving_targets: names of targets said to be leaving.
         """
-        self.state.membership.note_listed(now, entries)
+        self.state.membership.update_from_list(now, entries)
         self.state.listed_leaving = frozenset(leaving_targets)
         update_leaving(self.state)
 
     def note_hints(self, now, peers):
         """Take names of entry instances from a peer; hints as well."""
-        self.state.membership.note_hinted(now, peers)
+        self.state.membership.add_peer_hints(now, peers)
 
     def take_handover(self, now, records):
         """Become home of flows handed over.
--- a/cornelgap/entry/peering.py
+++ b/cornelgap/entry/peering.py
@@ -45,7 +45,7 @@
         count_event(state, 'hops_exceeded')
         return
     count_event(state, 'relayed')
-    state.membership.note_sent(now, peer)
+    state.membership.record_probe(now, peer)
     send_peer(
         state,
         peer,
@@ -67,7 +67,7 @@
     except CodedError as exc:
         count_event(state, f'peer_refused_{exc.code}')
         return None
-    state.membership.note_heard(
+    state.membership.record_datagram(
         now,
         peer.sender,
         peer.boot,
--- a/features/proofs/hand.py
+++ b/features/proofs/hand.py
@@ -93,7 +93,7 @@
                 self.now += 0.3
                 self.tick(other)
                 membership = self.engines[other].state.membership
-                membership.note_sent(self.now, name)
+                membership.record_probe(self.now, name)
 
     def carry_out(self, name, effects):
         """Sort effects into this desk's lists."""
--- a/features/steps/distribution_actor_steps.py
+++ b/features/steps/distribution_actor_steps.py
@@ -194,7 +194,7 @@
 )
 def hear_era(context, name, peer, rev, era):
     def hear(state, now):
-        state.membership.note_heard(
+        state.membership.record_datagram(
             0, peer, BOOT, Stamp(era, rev), False, context.apis[peer]
         )
 
@@ -240,7 +240,9 @@
 )
 def check_goes_on(context, name, revision, era):
     def read(state, now):
-        return state.cfg.stamp, state.membership.list_ahead(state.cfg.stamp)
+        return state.cfg.stamp, state.membership.list_newer_peers(
+            state.cfg.stamp
+        )
 
     found = context.packets[name].ask(ReadState(read))
     assert found == (Stamp(era, revision), []), found
--- a/features/steps/distribution_steps.py
+++ b/features/steps/distribution_steps.py
@@ -321,7 +321,7 @@
         for entry in entries:
             seed = random.Random(rng.random())
             members = Membership.from_settings(entry.name, entry.zone, seed)
-            members.note_listed(0, entries)
+            members.update_from_list(0, entries)
             self.members[entry.name] = members
             driver = Driver(seed, entry.name)
             driver.dist.zone = entry.zone
@@ -349,7 +349,7 @@
                 self.tell(peer, name)
 
     def tell(self, sender, receiver):
-        self.members[receiver].note_heard(
+        self.members[receiver].record_datagram(
             self.now,
             sender,
             1,
@@ -363,13 +363,13 @@
         members = self.members[name]
         stamp = driver.dist.stamp
         live = members.list_live_instances(self.now)
-        driver.view(members.list_ahead(stamp), tuple(live))
+        driver.view(members.list_newer_peers(stamp), tuple(live))
         for action in driver.step():
             self.carry_out(name, driver, action)
         driver.step()
         if driver.dist.stamp != stamp:
             self.went_back |= driver.dist.stamp < stamp
-            members.note_adopted(self.now, driver.dist.stamp)
+            members.record_adoption(self.now, driver.dist.stamp)
 
     def carry_out(self, name, driver, action):
         dist = driver.dist
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -25,14 +25,16 @@
 
 
 def hear(context, now, name, boot=BOOT, leaving=False):
-    context.members.note_heard(now, name, boot, Stamp(1, 3), leaving, 'api')
+    context.members.record_datagram(
+        now, name, boot, Stamp(1, 3), leaving, 'api'
+    )
 
 
 @given('a membership of {count:d} entries, all heard at 0 s')
 def make_members(context, count):
     context.members = Membership.from_settings('e0', 'z0', context.rng)
     context.entries = list_entries(count)
-    context.members.note_listed(0, context.entries)
+    context.members.update_from_list(0, context.entries)
     for entry in context.entries[1:]:
         hear(context, 0, entry.name)
     context.members.choose_pings(0)
@@ -46,7 +48,7 @@
         now = round(now + TICK_S, 4)
         for name in sends:
             if now >= 1:
-                context.members.note_sent(now, name)
+                context.members.record_probe(now, name)
         for name in context.members.choose_pings(now):
             if answers(now, name):
                 hear(context, now, name)
@@ -85,7 +87,7 @@
 def stand_still(context):
     for step in range(4):
         for entry in context.entries[1:]:
-            context.members.note_sent(0.1 + step * 0.3, entry.name)
+            context.members.record_probe(0.1 + step * 0.3, entry.name)
         context.members.choose_pings(0.1 + step * 0.3)
     context.now = 11
 
@@ -112,13 +114,13 @@
 )
 def leave(context, name):
     hear(context, 1, name, leaving=True)
-    context.members.note_listed(1.05, context.entries)
+    context.members.update_from_list(1.05, context.entries)
     context.now = 1.1
 
 
 @when("the membership's own entry adopts revision {revision:d} at 0.1 s")
 def adopt(context, revision):
-    context.members.note_adopted(0.1, Stamp(1, revision))
+    context.members.record_adoption(0.1, Stamp(1, revision))
 
 
 @when("{count:d} of the membership's entries are silent until 30 s")
@@ -165,7 +167,7 @@
                 hear(context, context.now, name)
         if context.now == at:
             for entry in context.entries[1:]:
-                context.members.note_sent(context.now, entry.name)
+                context.members.record_probe(context.now, entry.name)
 
 
 @then('the membership calls nobody lost at {at:g} s')
@@ -211,7 +213,7 @@
 
 @then('the membership says that an address is missing')
 def check_unknown(context):
-    assert context.members.has_unknown()
+    assert context.members.has_missing_address()
 
 
 @then('the membership asks {count:d} peers at 0.12 s')
@@ -232,7 +234,7 @@
     for entry in entries:
         rng = random.Random(context.rng.random())
         members = Membership.from_settings(entry.name, entry.zone, rng)
-        members.note_listed(0, entries)
+        members.update_from_list(0, entries)
         context.fleet[entry.name] = members
 
 
@@ -251,7 +253,7 @@
 def exchange(context, now, name, peer):
     for sender, receiver in ((name, peer), (peer, name)):
         members = context.fleet[receiver]
-        members.note_heard(now, sender, BOOT, Stamp(1, 3), False, 'api')
+        members.record_datagram(now, sender, BOOT, Stamp(1, 3), False, 'api')
         context.heard[receiver].add(sender)
         context.bytes[sender] += PING_BYTES
         context.bytes[receiver] += PING_BYTES
@@ -278,7 +280,7 @@
 @when('a peer names {count:d} entries to the membership')
 def name_entries(context, count):
     context.hints = list_entries(count + 1)[1:]
-    context.members.note_hinted(0, context.hints)
+    context.members.add_peer_hints(0, context.hints)
 
 
 @then('the membership asks these {count:d} entries')
@@ -298,7 +300,7 @@
 @when('a peer names "{name}" at another address to the membership')
 def name_elsewhere(context, name):
     hint = Instance(name, 'z9', '127.0.0.1:9', 'elsewhere')
-    context.members.note_hinted(1, [hint])
+    context.members.add_peer_hints(1, [hint])
 
 
 @then('the membership keeps the address of "{name}"')
@@ -326,7 +328,10 @@
 def check_ahead(context):
     states = [engine.state for engine in context.desk.engines.values()]
     ahead = [
-        [peer.name for peer in state.membership.list_ahead(state.cfg.stamp)]
+        [
+            peer.name
+            for peer in state.membership.list_newer_peers(state.cfg.stamp)
+        ]
         for state in states
     ]
     assert ahead == [['e2'], []], ahead
