--- a/cornelgap/decisions/polling.py
+++ b/cornelgap/decisions/polling.py
@@ -11,10 +11,10 @@
 
 from cornelgap.decisions.backoff import compute_backoff
 
-REGISTER_S = 2.0
+REGISTER_INTERVAL_S = 2.0
 """Interval of registrations; they lapse after a few missed ones."""
 
-LIST_S = 2.0
+LIST_INTERVAL_S = 2.0
 """Shortest interval between two polls of a list."""
 
 LIST_BYTES_PER_S = 250
@@ -51,19 +51,19 @@
         self._ended_at = float('-inf')
         self._due_at = float('-inf')
 
-    def start_due(self, now):
+    def start_if_due(self, now):
         """Return whether the call is due; if so, mark it as in progress."""
         if self._running or now < self._due_at:
             return False
         self._running = True
         return True
 
-    def hasten(self, now):
+    def bring_forward(self, now):
         """Bring the next call forward, within the bandwidth of early polls."""
         early = max(now, self._ended_at + self._early_interval_s)
         self._due_at = min(self._due_at, early)
 
-    def note_done(self, now, size=0):
+    def record_success(self, now, size=0):
         """Record that the call has succeeded.
 
         :param size: size of the answer in bytes.
@@ -77,7 +77,7 @@
         self._failures = 0
         self._schedule_next(now, wait)
 
-    def note_failed(self, now):
+    def record_failure(self, now):
         """Record that the call has failed; back off exponentially.
 
         Instances that lost the platform at the same time must not all retry
--- a/cornelgap/entry/instances.py
+++ b/cornelgap/entry/instances.py
@@ -13,8 +13,8 @@
 from cornelgap.core.errors import CodedError
 from cornelgap.decisions.polling import (
     LIST_BYTES_PER_S,
-    LIST_S,
-    REGISTER_S,
+    LIST_INTERVAL_S,
+    REGISTER_INTERVAL_S,
     Poll,
 )
 from cornelgap.entry.packets import InstancesListed
@@ -61,7 +61,9 @@
         time after which the platform takes a silent instance off its list.
     """
 
-    def __init__(self, scope, own, store, packet, loops, register_s=REGISTER_S):
+    def __init__(
+        self, scope, own, store, packet, loops, register_s=REGISTER_INTERVAL_S
+    ):
         """Prepare; nothing is asked before the first tick."""
         super().__init__(scope, INSTANCES)
         self._own = own
@@ -76,8 +78,8 @@
         rng = random.Random(own.name)
         self._polls = {
             'register': Poll(rng, register_s),
-            ENTRY_ROLE: Poll(rng, LIST_S, LIST_BYTES_PER_S),
-            TARGET_ROLE: Poll(rng, LIST_S, LIST_BYTES_PER_S),
+            ENTRY_ROLE: Poll(rng, LIST_INTERVAL_S, LIST_BYTES_PER_S),
+            TARGET_ROLE: Poll(rng, LIST_INTERVAL_S, LIST_BYTES_PER_S),
         }
         self.handlers = {
             LookAround: self._look_around,
@@ -102,7 +104,7 @@
     def _look_around(self, _message):
         now = time.monotonic()
         for name, poll in self._polls.items():
-            if poll.start_due(now):
+            if poll.start_if_due(now):
                 self._start_call(name)
 
     def _start_call(self, name):
@@ -123,12 +125,12 @@
         poll = self._polls[message.poll]
         answer = message.answer
         if answer is None:
-            poll.note_failed(now)
+            poll.record_failure(now)
             return
         if message.poll == 'register':
-            poll.note_done(now)
+            poll.record_success(now)
             return
-        poll.note_done(now, sum(item.ByteSize() + 2 for item in answer))
+        poll.record_success(now, sum(item.ByteSize() + 2 for item in answer))
         if message.poll == ENTRY_ROLE:
             self._entries = [_decode(item) for item in answer]
         else:
@@ -142,12 +144,12 @@
             )
 
     def _hasten_list(self, _message):
-        self._polls[ENTRY_ROLE].hasten(time.monotonic())
+        self._polls[ENTRY_ROLE].bring_forward(time.monotonic())
         self._look_around(None)
 
     def _announce_leaving(self, _message):
         self._leaving = True
-        self._polls['register'].hasten(time.monotonic())
+        self._polls['register'].bring_forward(time.monotonic())
 
     def _encode(self):
         own = self._own
--- a/features/steps/membership_polling_steps.py
+++ b/features/steps/membership_polling_steps.py
@@ -2,14 +2,14 @@
 
 from behave import given, then, when
 
-from cornelgap.decisions.polling import LIST_BYTES_PER_S, LIST_S, Poll
+from cornelgap.decisions.polling import LIST_BYTES_PER_S, LIST_INTERVAL_S, Poll
 
 TICK_S = 0.1
 
 
 @given('a polling schedule of a list')
 def make_poll(context):
-    context.poll = Poll(context.rng, LIST_S, LIST_BYTES_PER_S)
+    context.poll = Poll(context.rng, LIST_INTERVAL_S, LIST_BYTES_PER_S)
     context.calls = 0
 
 
@@ -18,15 +18,17 @@
     while now < seconds:
         now += TICK_S
         if hasten:
-            context.poll.hasten(now)
-        if context.poll.start_due(now):
+            context.poll.bring_forward(now)
+        if context.poll.start_if_due(now):
             context.calls += 1
             answer(now)
 
 
 @when('the polled list has {size:d} bytes each time for {seconds:d} s')
 def poll_list(context, size, seconds):
-    run_poll(context, seconds, lambda now: context.poll.note_done(now, size))
+    run_poll(
+        context, seconds, lambda now: context.poll.record_success(now, size)
+    )
 
 
 @when(
@@ -37,14 +39,14 @@
     run_poll(
         context,
         seconds,
-        lambda now: context.poll.note_done(now, size),
+        lambda now: context.poll.record_success(now, size),
         hasten=True,
     )
 
 
 @when('the polled list fails for {seconds:d} s')
 def poll_failing(context, seconds):
-    run_poll(context, seconds, context.poll.note_failed)
+    run_poll(context, seconds, context.poll.record_failure)
 
 
 @when('the polled list does not answer for {seconds:d} s')
