--- a/cornelgap/call/flow.py
+++ b/cornelgap/call/flow.py
@@ -17,7 +17,7 @@
     Verdict,
     confirm_done,
     refuse_not_run,
-    report_doubt,
+    report_may_have_run,
 )
 from cornelgap.core.window import WINDOW_SIZE
 from cornelgap.wire.caller_codec import decode_datagram, encode_message
@@ -261,7 +261,7 @@
                 continue
             if req.number:
                 self._send(msg.Cancel(self.service, self.token, req.number))
-                verdict = report_doubt(Code.REQ_DEADLINE)
+                verdict = report_may_have_run(Code.REQ_DEADLINE)
             else:
                 verdict = refuse_not_run(Code.REQ_DEADLINE, text='never sent')
             self._end_request(req, verdict)
@@ -456,7 +456,7 @@
     def _change_space(self, now, old_epoch, epoch):
         for req in list(self._requests.values()):
             if req.number and not req.idempotent:
-                self._end_request(req, report_doubt(Code.REQ_HOME_LOST))
+                self._end_request(req, report_may_have_run(Code.REQ_HOME_LOST))
                 continue
             req.restart(now)
         self._by_number.clear()
--- a/cornelgap/core/verdicts.py
+++ b/cornelgap/core/verdicts.py
@@ -53,7 +53,7 @@
     )
 
 
-def report_doubt(code, retry_after_ms=0, text=''):
+def report_may_have_run(code, retry_after_ms=0, text=''):
     """Build the verdict on a request that may have run."""
     return Verdict(
         ran=Ran.MAY_HAVE_RUN,
@@ -63,7 +63,7 @@
     )
 
 
-def ask_same_id(code, retry_after_ms=0, text=''):
+def report_unknown(code, retry_after_ms=0, text=''):
     """Build the verdict of a sender that cannot know whether it has run.
 
     The caller may send the same request id again.
--- a/cornelgap/entry/feeds.py
+++ b/cornelgap/entry/feeds.py
@@ -10,7 +10,7 @@
 from cornelgap.core import calls
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import Code
-from cornelgap.core.verdicts import report_doubt
+from cornelgap.core.verdicts import report_may_have_run
 from cornelgap.core.window import check_number, mark_number
 from cornelgap.entry.lookups import find_target, register_call
 from cornelgap.entry.replies import (
@@ -45,7 +45,7 @@
         return
     if not check_number(flow.top, flow.seen, sub.number):
         # The feed has ended here; the caller subscribes anew if it wants.
-        verdict = report_doubt(str(Code.REQ_TOO_OLD))
+        verdict = report_may_have_run(str(Code.REQ_TOO_OLD))
         send_report(state, now, flow, sub.number, verdict)
         return
     if state.leaving or flow.closed:
--- a/cornelgap/entry/replies.py
+++ b/cornelgap/entry/replies.py
@@ -8,7 +8,7 @@
     peek_flow,
     pick_signing_key,
 )
-from cornelgap.core.verdicts import ask_same_id
+from cornelgap.core.verdicts import report_unknown
 from cornelgap.entry.state import count_event, split_key
 from cornelgap.wire.caller_codec import encode_message
 
@@ -112,7 +112,7 @@
         nonce=getattr(message, 'nonce', 0),
         flow=peek_flow(getattr(message, 'token', b'')),
         number=getattr(message, 'number', 0),
-        verdict=ask_same_id(str(code), retry_after_ms),
+        verdict=report_unknown(str(code), retry_after_ms),
     )
     datagram = encode_message(refused)
     if len(datagram) <= size:
--- a/cornelgap/entry/requests.py
+++ b/cornelgap/entry/requests.py
@@ -17,7 +17,7 @@
     Verdict,
     confirm_done,
     refuse_not_run,
-    report_doubt,
+    report_may_have_run,
 )
 from cornelgap.core.window import check_number, mark_number
 from cornelgap.decisions.admission import Job
@@ -53,7 +53,7 @@
         _repeat_status(state, now, flow, kept, req.credit)
         return
     if not check_number(flow.top, flow.seen, req.number):
-        verdict = report_doubt(Code.REQ_TOO_OLD)
+        verdict = report_may_have_run(Code.REQ_TOO_OLD)
         send_report(state, now, flow, req.number, verdict)
         return
     if state.leaving or flow.closed:
@@ -350,7 +350,7 @@
             ran=Ran.UNKNOWN, code=str(Code.REQ_NEVER_SEEN), same_id=True
         )
     else:
-        verdict = report_doubt(str(Code.REQ_TOO_OLD))
+        verdict = report_may_have_run(str(Code.REQ_TOO_OLD))
     send_report(state, now, flow, query.number, verdict)
 
 
@@ -360,7 +360,7 @@
         return
     if kept.call_id:
         state.effects.append(calls.StopCall(kept.call_id))
-        verdict = report_doubt(str(Code.REQ_CANCELLED))
+        verdict = report_may_have_run(str(Code.REQ_CANCELLED))
     else:
         admission = state.admissions[flow.service]
         step = admission.cancel(now, (flow.key, kept.number))
--- a/features/proofs/switches.py
+++ b/features/proofs/switches.py
@@ -69,7 +69,7 @@
 
 
 def claim_not_run(patches):
-    patches.replace_function(verdicts.ask_same_id, refuse_not_run)
+    patches.replace_function(verdicts.report_unknown, refuse_not_run)
 
 
 def evict_idle(patches):
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -11,7 +11,7 @@
 from cornelgap.call import events as ev
 from cornelgap.call.flow import CallerFlow
 from cornelgap.core import messages as msg
-from cornelgap.core.verdicts import Ran, Verdict, ask_same_id
+from cornelgap.core.verdicts import Ran, Verdict, report_unknown
 from cornelgap.wire.caller_codec import decode_datagram, encode_message
 
 FLOW = b'f' * 16
@@ -316,7 +316,7 @@
 @when('the hold is refused with the same id after 300 ms')
 def refuse_hold(context):
     context.times.clear()
-    verdict = ask_same_id('REQ-014', 300)
+    verdict = report_unknown('REQ-014', 300)
     feed_in(context, msg.Refused('booking', 0, FLOW, 1, verdict))
     context.refused_at = context.now
     advance(context, context.now + 2)
