--- a/bench/engine.py
+++ b/bench/engine.py
@@ -17,7 +17,7 @@
 from cornelgap.core.control import Instance
 from cornelgap.core.settings import Cfg, KeyCfg, ServiceCfg, TargetCfg
 from cornelgap.core.token import mint_token, verify_token
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.entry.engine import Engine
 from cornelgap.wire.caller_codec import decode_datagram, encode_message
@@ -139,7 +139,7 @@
                 clock[0],
                 [
                     PieceArrived(call.call_id, 0, b'y' * 200, last=True),
-                    CallEnded(call.call_id, CallEnd.OK, Ran.DONE),
+                    CallEnded(call.call_id, CallEnd.OK, RunState.DONE),
                 ],
             )
             ack = msg.Ack('search', opened.token, number[0], 1)
--- a/cornelgap/call/flow.py
+++ b/cornelgap/call/flow.py
@@ -13,7 +13,7 @@
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import Code, CodedError
 from cornelgap.core.verdicts import (
-    Ran,
+    RunState,
     Verdict,
     confirm_done,
     refuse_not_run,
@@ -349,7 +349,7 @@
         item = self._find_item(message, (Pending, Feed))
         if item is None:
             return
-        if message.verdict.ran is Ran.UNKNOWN:
+        if message.verdict.ran is RunState.UNKNOWN:
             self._retry_item(now, item, message.verdict)
         elif isinstance(item, Pending):
             self._end_request(item, message.verdict)
@@ -401,7 +401,7 @@
         for feed in list(self._feeds.values()):
             if feed.is_silent(now):
                 self._resume_feed(
-                    now, feed, Verdict(Ran.UNKNOWN, Code.REQ_HOME_LOST)
+                    now, feed, Verdict(RunState.UNKNOWN, Code.REQ_HOME_LOST)
                 )
             self._send_due(now, feed)
 
@@ -417,7 +417,7 @@
             self._send(feed.build_ack(self.service, self.token))
 
     def _resume_feed(self, now, feed, verdict):
-        if verdict.ran is Ran.DONE or verdict.code in _FEED_ENDS:
+        if verdict.ran is RunState.DONE or verdict.code in _FEED_ENDS:
             self._end_feed(feed, verdict)
             return
         self._drop_number(feed)
--- a/cornelgap/call/load.py
+++ b/cornelgap/call/load.py
@@ -12,7 +12,7 @@
 
 from cornelgap.call import events as ev
 from cornelgap.call.report import FeedLog, LoadLog
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 
 FIRST_RETRY_S = 0.1
 MAX_TRIES = 20
@@ -193,7 +193,7 @@
         if event.answer is not None:
             self.log.answer_ms.append((now - caller.sent_at) * 1000)
             self.log.bytes_in += len(event.answer)
-        if event.verdict.ran is Ran.NOT_RUN and caller.tries < MAX_TRIES:
+        if event.verdict.ran is RunState.NOT_RUN and caller.tries < MAX_TRIES:
             wait = max(FIRST_RETRY_S, event.verdict.retry_after_ms / 1000)
             self._plan_next(caller, now + wait * (1 + self._rng.random()))
             return
--- a/cornelgap/call/main.py
+++ b/cornelgap/call/main.py
@@ -15,13 +15,13 @@
 from cornelgap.call import events as ev
 from cornelgap.call.client import CallerClient
 from cornelgap.call.load import Load, LoadPlan
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 
 EXIT_CODES = {
-    Ran.DONE: 0,
-    Ran.NOT_RUN: 3,
-    Ran.MAY_HAVE_RUN: 4,
-    Ran.UNKNOWN: 5,
+    RunState.DONE: 0,
+    RunState.NOT_RUN: 3,
+    RunState.MAY_HAVE_RUN: 4,
+    RunState.UNKNOWN: 5,
 }
 
 app = cyclopts.App(
@@ -169,7 +169,7 @@
     def show_event(event):
         if isinstance(event, ev.FeedItem):
             print(event.position, event.payload.decode(errors='replace'))
-            return Ran.DONE if count and event.position >= last else None
+            return RunState.DONE if count and event.position >= last else None
         if isinstance(event, (ev.FeedEnded, ev.OpenFailed)):
             _show_verdict(event.verdict)
             return event.verdict.ran
--- a/cornelgap/call/report.py
+++ b/cornelgap/call/report.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 
 PERCENTILES = (50, 90, 99, 99.9)
 
@@ -80,7 +80,7 @@
     def note_verdict(self, verdict, answered):
         """Count a verdict by what it says and its code."""
         name = verdict.ran.name.lower()
-        if verdict.ran is Ran.DONE and not answered:
+        if verdict.ran is RunState.DONE and not answered:
             name = 'done_answer_gone'
         self.verdicts[f'{name} {verdict.code}'.strip()] += 1
 
--- a/cornelgap/core/calls.py
+++ b/cornelgap/core/calls.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 
 
@@ -136,6 +136,6 @@
 
     call_id: int
     ended: CallEnd
-    ran: Ran
+    ran: RunState
     code: str = ''
     retry_after_ms: int = 0
--- a/cornelgap/core/verdicts.py
+++ b/cornelgap/core/verdicts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 
-class Ran(enum.IntEnum):
+class RunState(enum.IntEnum):
     """Whether the request has run, as far as the sender can know."""
 
     UNKNOWN = 0
@@ -39,7 +39,7 @@
     :param text: explanation for people in one short sentence.
     """
 
-    ran: Ran
+    ran: RunState
     code: str = ''
     same_id: bool = False
     retry_after_ms: int = 0
@@ -49,14 +49,17 @@
 def refuse_not_run(code, retry_after_ms=0, text=''):
     """Build the verdict on a request that did not run and never will."""
     return Verdict(
-        ran=Ran.NOT_RUN, code=code, retry_after_ms=retry_after_ms, text=text
+        ran=RunState.NOT_RUN,
+        code=code,
+        retry_after_ms=retry_after_ms,
+        text=text,
     )
 
 
 def report_may_have_run(code, retry_after_ms=0, text=''):
     """Build the verdict on a request that may have run."""
     return Verdict(
-        ran=Ran.MAY_HAVE_RUN,
+        ran=RunState.MAY_HAVE_RUN,
         code=code,
         retry_after_ms=retry_after_ms,
         text=text,
@@ -69,7 +72,7 @@
     The caller may send the same request id again.
     """
     return Verdict(
-        ran=Ran.UNKNOWN,
+        ran=RunState.UNKNOWN,
         code=code,
         same_id=True,
         retry_after_ms=retry_after_ms,
@@ -79,4 +82,4 @@
 
 def confirm_done():
     """Build the verdict on a request that ran to completion."""
-    return Verdict(ran=Ran.DONE)
+    return Verdict(ran=RunState.DONE)
--- a/cornelgap/decisions/retry.py
+++ b/cornelgap/decisions/retry.py
@@ -6,7 +6,7 @@
 gone.  With one, retries are at most a fixed share of the requests.
 """
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 
 _RETRIES_PER_REQUEST = 0.1
 """Retries earned by one request: load grows by a tenth at most."""
@@ -85,8 +85,8 @@
 
 
 def _is_repeatable(ran, idempotent):
-    if ran is Ran.NOT_RUN:
+    if ran is RunState.NOT_RUN:
         return True
     # A request that may have run could run twice; a reservation would book
     # an aircraft twice.  Such a request is retried only if it is idempotent.
-    return idempotent and ran is not Ran.DONE
+    return idempotent and ran is not RunState.DONE
--- a/cornelgap/entry/call_ends.py
+++ b/cornelgap/entry/call_ends.py
@@ -9,7 +9,7 @@
 
 from cornelgap.core.calls import CallEnded
 from cornelgap.core.errors import Code
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 
 NOT_RUN_KEY = 'cornelgap-not-run'
@@ -19,17 +19,17 @@
 
 def end_done(call_id):
     """Build the end of a call that gave all it had."""
-    return CallEnded(call_id, CallEnd.OK, Ran.DONE)
+    return CallEnded(call_id, CallEnd.OK, RunState.DONE)
 
 
 def end_unsent(call_id, ended, code):
     """Build the end of a call that never left this process."""
-    return CallEnded(call_id, ended, Ran.NOT_RUN, code)
+    return CallEnded(call_id, ended, RunState.NOT_RUN, code)
 
 
 def end_doubtful(call_id, ended, code):
     """Build the end of a call that may have run."""
-    return CallEnded(call_id, ended, Ran.MAY_HAVE_RUN, code)
+    return CallEnded(call_id, ended, RunState.MAY_HAVE_RUN, code)
 
 
 def read_status(call_id, status, trailers, answered):
--- a/cornelgap/entry/handover.py
+++ b/cornelgap/entry/handover.py
@@ -14,7 +14,7 @@
 
 from cornelgap.core import messages as msg
 from cornelgap.core.stamps import Stamp
-from cornelgap.core.verdicts import Ran, Verdict
+from cornelgap.core.verdicts import RunState, Verdict
 from cornelgap.core.window import decode_seen, encode_seen
 from cornelgap.entry import answers
 from cornelgap.entry.feeds import add_feed, end_feed
@@ -339,7 +339,7 @@
         long_job=False,
         deadline=now,
         verdict=Verdict(
-            ran=Ran(record.ran),
+            ran=RunState(record.ran),
             code=record.code,
             same_id=record.same_id,
             retry_after_ms=record.retry_after_ms,
--- a/cornelgap/entry/metric_list.py
+++ b/cornelgap/entry/metric_list.py
@@ -7,12 +7,12 @@
 import time
 
 from cornelgap.core.errors import Code
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.kernel.metrics import COUNTER, GAUGE, OTHER, Metric, Sample
 
 _PREFIX = 'cornelgap_'
 _CODES = frozenset(str(code) for code in Code)
-_RANS = frozenset(ran.name.lower() for ran in Ran)
+_RANS = frozenset(ran.name.lower() for ran in RunState)
 
 # What a counter of the engine is shown as: by prefix, with the rest of its
 # name as the label, or by its whole name.
--- a/cornelgap/entry/requests.py
+++ b/cornelgap/entry/requests.py
@@ -13,7 +13,7 @@
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import Code
 from cornelgap.core.verdicts import (
-    Ran,
+    RunState,
     Verdict,
     confirm_done,
     refuse_not_run,
@@ -213,7 +213,7 @@
     _finish_admission(state, now, flow, kept, event.ended, now - call.started)
     if kept.verdict is not None:
         return
-    if event.ran is Ran.DONE or kept.answer.ended:
+    if event.ran is RunState.DONE or kept.answer.ended:
         # The last piece came before the connection broke: nothing is
         # missing, and a doubt would make the caller drop a whole answer.
         end_request(state, now, flow, kept, confirm_done())
@@ -225,7 +225,7 @@
         offer_request(state, now, flow, kept)
     elif _may_retry(state, now, flow, kept, event):
         count_event(state, 'retries')
-        kept.doubtful = kept.doubtful or event.ran is not Ran.NOT_RUN
+        kept.doubtful = kept.doubtful or event.ran is not RunState.NOT_RUN
         move_flow(state, now, flow)
         offer_request(state, now, flow, kept)
     else:
@@ -272,7 +272,7 @@
     state.open_requests -= 1
     state.waiting.pop((flow.key, kept.number), None)
     state.kept_ended[flow.key, kept.number] = now
-    if verdict.ran is not Ran.DONE:
+    if verdict.ran is not RunState.DONE:
         kept.answer = None
         send_report(state, now, flow, kept.number, verdict)
     elif answers.is_acknowledged(kept.answer):
@@ -288,8 +288,8 @@
     second only; the caller would learn of a result that it was told cannot
     exist.
     """
-    if kept.doubtful and verdict.ran is Ran.NOT_RUN:
-        return replace(verdict, ran=Ran.MAY_HAVE_RUN)
+    if kept.doubtful and verdict.ran is RunState.NOT_RUN:
+        return replace(verdict, ran=RunState.MAY_HAVE_RUN)
     return verdict
 
 
@@ -347,7 +347,7 @@
     if check_number(flow.top, flow.seen, query.number):
         # Asking must not burn the number: a first copy may be on its way.
         verdict = Verdict(
-            ran=Ran.UNKNOWN, code=str(Code.REQ_NEVER_SEEN), same_id=True
+            ran=RunState.UNKNOWN, code=str(Code.REQ_NEVER_SEEN), same_id=True
         )
     else:
         verdict = report_may_have_run(str(Code.REQ_TOO_OLD))
--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -8,7 +8,7 @@
 
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import Code, CodedError
-from cornelgap.core.verdicts import Ran, Verdict
+from cornelgap.core.verdicts import RunState, Verdict
 from cornelgap.wire import caller_pb2 as pb
 
 MAX_MISSING = 64
@@ -170,9 +170,9 @@
 
 
 def _decode_verdict(raw):
-    _require(raw.ran <= Ran.DONE, 'ran')
+    _require(raw.ran <= RunState.DONE, 'ran')
     return Verdict(
-        ran=Ran(raw.ran),
+        ran=RunState(raw.ran),
         code=raw.code,
         same_id=raw.same_id,
         retry_after_ms=raw.retry_after_ms,
--- a/features/decision_loop/entries.py
+++ b/features/decision_loop/entries.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict, deque
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.admission import Admission, Job
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.decisions.placement import Placement
@@ -204,7 +204,7 @@
         return self.budget.may_retry(
             self.loop.now,
             req.deadline,
-            Ran.MAY_HAVE_RUN,
+            RunState.MAY_HAVE_RUN,
             req.arrival.idempotent,
         )
 
--- a/features/proofs/caller_node.py
+++ b/features/proofs/caller_node.py
@@ -10,7 +10,7 @@
 from cornelgap.call import events as ev
 from cornelgap.call.flow import CallerFlow
 from cornelgap.core import messages as msg
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.wire.caller_codec import decode_datagram
 from features.proofs import fabric as fab
 from features.proofs import records as rec
@@ -153,9 +153,9 @@
             self.world.tape.note(rec.Answered(self.name, req, event.answer))
         elif req.number:
             self.world.tape.note(rec.Judged(self.name, req, event.verdict.ran))
-        if event.verdict.ran is Ran.MAY_HAVE_RUN:
+        if event.verdict.ran is RunState.MAY_HAVE_RUN:
             self.doubts += 1
-        if work is not None and event.verdict.ran is Ran.NOT_RUN:
+        if work is not None and event.verdict.ran is RunState.NOT_RUN:
             self._come_back(work, event.verdict)
 
     def _come_back(self, work, verdict):
--- a/features/proofs/checkers.py
+++ b/features/proofs/checkers.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from hashlib import blake2b
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from features.proofs import records as rec
 
 DRAIN_S = 4.0
@@ -58,14 +58,14 @@
     return [
         f'{said.caller} was told NOT_RUN of {said.req}, which ran'
         for said in tape.pick(rec.Judged)
-        if said.ran is Ran.NOT_RUN and said.req in ran
+        if said.ran is RunState.NOT_RUN and said.req in ran
     ]
 
 
 def check_true_done(tape):
     """Find DONE verdicts and answers of requests that never ran."""
     ran = {run.req for run in tape.pick(rec.Executed)}
-    told = [said for said in tape.pick(rec.Judged) if said.ran is Ran.DONE]
+    told = [said for said in tape.pick(rec.Judged) if said.ran is RunState.DONE]
     told += tape.pick(rec.Answered)
     return [
         f'{said.caller} was told that {said.req} is done, it never ran'
@@ -84,11 +84,11 @@
     for item in tape.pick(rec.Judged):
         said.setdefault(item.req, set()).add(item.ran)
     for item in tape.pick(rec.Answered):
-        said.setdefault(item.req, set()).add(Ran.DONE)
+        said.setdefault(item.req, set()).add(RunState.DONE)
     return [
         f'{req} was told {sorted(rans)}'
         for req, rans in said.items()
-        if Ran.NOT_RUN in rans and Ran.DONE in rans
+        if RunState.NOT_RUN in rans and RunState.DONE in rans
     ]
 
 
--- a/features/proofs/hand.py
+++ b/features/proofs/hand.py
@@ -13,7 +13,7 @@
 from cornelgap.core import messages as msg
 from cornelgap.core.control import Instance
 from cornelgap.core.settings import Cfg, KeyCfg, ServiceCfg, TargetCfg
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.entry.engine import Engine
 from cornelgap.entry.handover import HandedOver, HandOver
@@ -117,7 +117,7 @@
     def _note_told(self, message):
         if isinstance(message, msg.Report):
             req = rec.ReqId(message.flow, message.epoch, message.number)
-            if message.verdict.ran is not Ran.UNKNOWN:
+            if message.verdict.ran is not RunState.UNKNOWN:
                 self.tape.note(rec.Judged('c1', req, message.verdict.ran))
 
     def deliver_peers(self):
@@ -201,7 +201,7 @@
         self.report(
             name,
             calls.PieceArrived(effect.call_id, 0, payload, True, 1),
-            calls.CallEnded(effect.call_id, CallEnd.OK, Ran.DONE),
+            calls.CallEnded(effect.call_id, CallEnd.OK, RunState.DONE),
         )
 
     def end_call(self, name, effect, ended, ran, code='REQ-005'):
--- a/features/proofs/naive_codec.py
+++ b/features/proofs/naive_codec.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from cornelgap.core import messages as msg
-from cornelgap.core.verdicts import Ran, Verdict
+from cornelgap.core.verdicts import RunState, Verdict
 from cornelgap.wire import caller_codec
 
 U32 = st.integers(1, 2**32 - 1)
@@ -15,7 +15,7 @@
 CREDITS = st.integers(0, caller_codec.MAX_CREDIT)
 VERDICTS = st.builds(
     Verdict,
-    ran=st.sampled_from(list(Ran)),
+    ran=st.sampled_from(list(RunState)),
     code=st.text(max_size=8),
     same_id=st.booleans(),
     retry_after_ms=st.integers(0, 2**32 - 1),
--- a/features/proofs/part_stories.py
+++ b/features/proofs/part_stories.py
@@ -15,7 +15,7 @@
 from cornelgap.core.errors import Code, CodedError
 from cornelgap.core.settings import ServiceCfg, TargetCfg
 from cornelgap.core.stamps import Stamp
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.decisions.placement import Placement
 from cornelgap.entry import call_ends
@@ -87,7 +87,7 @@
     call, _ = _make_call(stub, now=12.0)
     end = asyncio.run(call.run())
     lines = ['a hold was sent past its deadline'] if stub.sent else []
-    if not stub.sent and end.ran is not Ran.NOT_RUN:
+    if not stub.sent and end.ran is not RunState.NOT_RUN:
         lines.append('what was never sent must be not run')
     return lines
 
@@ -101,7 +101,7 @@
     call, emitted = _make_call(stub, now=1.0)
     end = asyncio.run(call.run())
     lines = []
-    if emitted or end.ran is Ran.DONE:
+    if emitted or end.ran is RunState.DONE:
         lines.append('an answer of another service was passed on')
     if (stub.sent[0].service, stub.sent[0].target) != ('booking', 'b1'):
         lines.append('the request does not name whom it means')
@@ -294,7 +294,7 @@
         lines.append(f'{admission.waiting} requests wait, {limit} may')
     if len(refused) + admission.waiting + admission.running != 200:
         lines.append('some request was neither served nor refused')
-    if any(one.verdict.ran is not Ran.NOT_RUN for one in refused):
+    if any(one.verdict.ran is not RunState.NOT_RUN for one in refused):
         lines.append('a request refused by the queue is in doubt')
     return lines
 
@@ -304,6 +304,6 @@
     end = call_ends.read_status(
         1, grpc.StatusCode.RESOURCE_EXHAUSTED, (), answered=False
     )
-    if end.ran is Ran.NOT_RUN:
+    if end.ran is RunState.NOT_RUN:
         return ['a status without the proof of the contract was believed']
     return []
--- a/features/proofs/records.py
+++ b/features/proofs/records.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass, field
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
     caller: str
     req: ReqId
-    ran: Ran
+    ran: RunState
 
 
 @dataclass(frozen=True, slots=True)
--- a/features/proofs/stories.py
+++ b/features/proofs/stories.py
@@ -9,7 +9,7 @@
 from cornelgap.core import messages as msg
 from cornelgap.core.calls import PieceArrived
 from cornelgap.core.settings import KeyCfg, KeyStage
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.ends import CallEnd
 from features.proofs import checkers
 from features.proofs import records as rec
@@ -36,7 +36,7 @@
     for _ in range(SHED_TURNS):
         while desk.runs:
             name, effect = desk.runs.pop(0)
-            desk.end_call(name, effect, CallEnd.SHED, Ran.NOT_RUN)
+            desk.end_call(name, effect, CallEnd.SHED, RunState.NOT_RUN)
         desk.pass_time(SHED_TURN_S)
         if any(isinstance(message, msg.Report) for message, _ in desk.told):
             return
@@ -79,7 +79,7 @@
     desk.run_all()
     for reply in pick(desk.request('e2', flow, 1), msg.Refused):
         req = rec.ReqId(flow.flow, flow.epoch, reply.number)
-        if reply.verdict.ran is not Ran.UNKNOWN:
+        if reply.verdict.ran is not RunState.UNKNOWN:
             desk.tape.note(rec.Judged('c1', req, reply.verdict.ran))
     return judge(desk)
 
@@ -131,7 +131,7 @@
     flow = desk.open('e1')
     desk.request('e1', flow, 1)
     name, effect = desk.run_next()
-    desk.end_call(name, effect, CallEnd.FAILED, Ran.MAY_HAVE_RUN)
+    desk.end_call(name, effect, CallEnd.FAILED, RunState.MAY_HAVE_RUN)
     desk.run_all()
     return judge(desk)
 
@@ -143,7 +143,7 @@
     flow = desk.open('e1')
     desk.request('e1', flow, 1, idempotent=True)
     name, effect = desk.run_next()
-    desk.end_call(name, effect, CallEnd.FAILED, Ran.MAY_HAVE_RUN)
+    desk.end_call(name, effect, CallEnd.FAILED, RunState.MAY_HAVE_RUN)
     shed_until_refused(desk)
     return judge(desk)
 
@@ -204,7 +204,7 @@
         while desk.runs:
             starts += 1
             name, effect = desk.runs.pop(0)
-            desk.end_call(name, effect, CallEnd.FAILED, Ran.MAY_HAVE_RUN)
+            desk.end_call(name, effect, CallEnd.FAILED, RunState.MAY_HAVE_RUN)
             if starts > 1000:
                 break
     # 60 requests earn 6 retries, beside the 5 of the start and a second's.
@@ -379,7 +379,7 @@
     desk.send('e1', msg.Ack('booking', flow.token, 1, 1))
     desk.request('e1', flow, 1)
     desk.send('e1', msg.OutcomeQuery('booking', flow.token, 1))
-    desk.end_call(name, effect, CallEnd.FAILED, Ran.MAY_HAVE_RUN)
+    desk.end_call(name, effect, CallEnd.FAILED, RunState.MAY_HAVE_RUN)
     return judge(desk)
 
 
--- a/features/proofs/world_stories.py
+++ b/features/proofs/world_stories.py
@@ -1,6 +1,6 @@
 """Stories of planned changes in the small world, without any fault."""
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from features.proofs import records as rec
 from features.proofs.world import World
 
@@ -27,7 +27,7 @@
     doubts = [
         f'{said.caller} was left in doubt about {said.req.number}'
         for said in world.tape.pick(rec.Judged)
-        if said.ran is Ran.MAY_HAVE_RUN
+        if said.ran is RunState.MAY_HAVE_RUN
     ]
     lost = [
         f'{one.name} lost its home'
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -11,7 +11,7 @@
 from cornelgap.call import events as ev
 from cornelgap.call.flow import CallerFlow
 from cornelgap.core import messages as msg
-from cornelgap.core.verdicts import Ran, Verdict, report_unknown
+from cornelgap.core.verdicts import RunState, Verdict, report_unknown
 from cornelgap.wire.caller_codec import decode_datagram, encode_message
 
 FLOW = b'f' * 16
@@ -132,7 +132,7 @@
             seed,
             lambda found: any(isinstance(x, ev.RequestEnded) for x in found),
         )
-        assert found[-1].verdict.ran is Ran.DONE
+        assert found[-1].verdict.ran is RunState.DONE
         assert found[-1].answer == random.Random(size).randbytes(size)
         assert home.runs == {1: 1}
 
@@ -265,7 +265,7 @@
 @then('the hold may have run with code "{code}"')
 def check_doubt(context, code):
     (end,) = find_ends(context, context.hold)
-    assert end.verdict.ran is Ran.MAY_HAVE_RUN
+    assert end.verdict.ran is RunState.MAY_HAVE_RUN
     assert end.verdict.code == code
     assert end.request_id == (FLOW, 7, 1)
 
@@ -361,7 +361,7 @@
 @when('the open is refused with 200 ms to wait')
 def refuse_open(context):
     context.times.clear()
-    verdict = Verdict(Ran.NOT_RUN, 'REQ-013', retry_after_ms=200)
+    verdict = Verdict(RunState.NOT_RUN, 'REQ-013', retry_after_ms=200)
     feed_in(
         context, msg.Refused('booking', context.flow.nonce, b'', 0, verdict)
     )
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cornelgap.core.settings import ServiceCfg, TargetCfg
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from cornelgap.decisions.admission import Admission, Job
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.decisions.pacing import Pacer
@@ -378,7 +378,7 @@
         now = number * seconds / count
         context.budget.note_request(now)
         context.allowed += context.budget.may_retry(
-            now, now + 5, Ran.NOT_RUN, idempotent=False
+            now, now + 5, RunState.NOT_RUN, idempotent=False
         )
 
 
@@ -390,7 +390,7 @@
 @then('a request that "{ran}" with {left:g} s left is {allowed}')
 def check_repeatable(context, ran, left, allowed):
     name, _, idempotent = ran.partition(', ')
-    may = context.budget.may_retry(0, left, Ran[name], bool(idempotent))
+    may = context.budget.may_retry(0, left, RunState[name], bool(idempotent))
     assert may == (allowed == 'tried')
 
 
--- a/features/steps/packets_steps.py
+++ b/features/steps/packets_steps.py
@@ -10,7 +10,7 @@
 from cornelgap.call.flow import CallerFlow
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import CodedError
-from cornelgap.core.verdicts import Ran, Verdict
+from cornelgap.core.verdicts import RunState, Verdict
 from cornelgap.wire import caller_pb2 as pb
 from cornelgap.wire.caller_codec import decode_datagram, encode_message
 
@@ -27,7 +27,7 @@
 ids = st.binary(max_size=16)
 verdicts = st.builds(
     Verdict,
-    st.sampled_from(Ran),
+    st.sampled_from(RunState),
     names,
     st.booleans(),
     short,
--- a/features/steps/proof_checker_steps.py
+++ b/features/steps/proof_checker_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from features.proofs import checkers
 from features.proofs import records as rec
 
@@ -27,9 +27,9 @@
             rec.Sent('c1', 'booking', RUN_ID, 'hold/1', False),
             RUN,
             ANSWER,
-            rec.Judged('c1', RUN_ID, Ran.DONE),
+            rec.Judged('c1', RUN_ID, RunState.DONE),
             rec.Sent('c1', 'booking', REFUSED_ID, 'hold/2', False),
-            rec.Judged('c1', REFUSED_ID, Ran.NOT_RUN),
+            rec.Judged('c1', REFUSED_ID, RunState.NOT_RUN),
             hear(0),
             hear(1),
             rec.Adopted('e1', 1, 5),
@@ -62,11 +62,11 @@
         replace(RUN, req=REFUSED_ID)
     ),
     'done without a run': lambda tape: plant_unrun(
-        tape, rec.Judged('c1', RUN_ID, Ran.DONE)
+        tape, rec.Judged('c1', RUN_ID, RunState.DONE)
     ),
     'an answer without a run': lambda tape: plant_unrun(tape, ANSWER),
     'refused and then answered': lambda tape: tape.note(
-        rec.Judged('c1', RUN_ID, Ran.NOT_RUN)
+        rec.Judged('c1', RUN_ID, RunState.NOT_RUN)
     ),
     'the answer is cut': lambda tape: plant_answer(tape, ANSWER.payload[:-1]),
     'the answer is another one': lambda tape: plant_answer(
--- a/features/steps/proof_process_steps.py
+++ b/features/steps/proof_process_steps.py
@@ -22,7 +22,7 @@
 from cornelgap.call import events as ev
 from cornelgap.call.client import CallerClient
 from cornelgap.call.main import parse_address
-from cornelgap.core.verdicts import Ran
+from cornelgap.core.verdicts import RunState
 from standins.works import make_event
 
 PLAN = DeploymentPlan('proof', 2, 3, (ServicePlan('booking', 2, 3),))
@@ -172,8 +172,8 @@
     doubled = {hold: times for hold, times in ran.items() if times > 1}
     assert not doubled, doubled
     said = dict(context.flows.ended)
-    refused = [hold for hold, told in said.items() if told is Ran.NOT_RUN]
-    done = [hold for hold, told in said.items() if told is Ran.DONE]
+    refused = [hold for hold, told in said.items() if told is RunState.NOT_RUN]
+    done = [hold for hold, told in said.items() if told is RunState.DONE]
     assert done, 'no hold was ever done'
     assert not [hold for hold in refused if hold in ran]
     assert not [hold for hold in done if hold not in ran]
--- a/features/steps/verdict_steps.py
+++ b/features/steps/verdict_steps.py
@@ -12,7 +12,7 @@
 
 @then('it says not run')
 def check_not_run(context):
-    assert context.verdict.ran is verdicts.Ran.NOT_RUN
+    assert context.verdict.ran is verdicts.RunState.NOT_RUN
 
 
 @then('the same id may not be sent again')
