--- a/cornelgap/core/messages.py
+++ b/cornelgap/core/messages.py
@@ -17,14 +17,14 @@
 from cornelgap.core.verdicts import Verdict
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Largest datagram in bytes; it fits into an Ethernet frame with its headers
 and leaves room to spare."""
 
 CHUNK_BYTES = 1100
 """Largest payload of one chunk or event in bytes."""
 
-MIN_OPEN = 360
+MIN_OPEN_BYTES = 360
 """Smallest OPEN in bytes.  An OPENED is never larger, so an attacker who
 forges the sender address cannot amplify traffic."""
 
@@ -42,7 +42,7 @@
 
     service: str
     nonce: int
-    size: int = MIN_OPEN
+    size: int = MIN_OPEN_BYTES
 
 
 @dataclass(slots=True)
--- a/cornelgap/entry/routing.py
+++ b/cornelgap/entry/routing.py
@@ -86,7 +86,7 @@
 
 def _open_flow(state, now, message, data, address, hops):
     """Answer an OPEN; nothing is stored, so a doubled one costs nothing."""
-    if message.size < msg.MIN_OPEN:
+    if message.size < msg.MIN_OPEN_BYTES:
         count_event(state, f'dropped_{Code.PKT_UNDER_PADDED}')
         return
     peers = state.membership.list_live(now) if state.leaving else ()
--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -39,7 +39,7 @@
     :returns: protobuf ``Datagram`` of a known version and kind.
     :raises CodedError: with a ``PKT`` code.
     """
-    if len(data) > msg.MAX_DATAGRAM:
+    if len(data) > msg.MAX_DATAGRAM_BYTES:
         raise CodedError(
             Code.PKT_OVERSIZED, f'{len(data)} bytes exceed the datagram limit'
         )
--- a/features/steps/packets_steps.py
+++ b/features/steps/packets_steps.py
@@ -34,7 +34,7 @@
     st.text(max_size=20),
 )
 MESSAGES = st.one_of(
-    st.builds(msg.Open, names, numbers, st.just(msg.MIN_OPEN)),
+    st.builds(msg.Open, names, numbers, st.just(msg.MIN_OPEN_BYTES)),
     st.builds(
         msg.Request,
         names,
@@ -89,7 +89,7 @@
         data = encode_message(message)
         if isinstance(message, msg.Open):
             message.size = len(data)
-        if len(data) <= msg.MAX_DATAGRAM:
+        if len(data) <= msg.MAX_DATAGRAM_BYTES:
             assert decode_datagram(data) == message
 
     check()
@@ -132,7 +132,7 @@
 
 
 BAD = {
-    'oversized': lambda: build(payload=bytes(msg.MAX_DATAGRAM)),
+    'oversized': lambda: build(payload=bytes(msg.MAX_DATAGRAM_BYTES)),
     'cut in a field': lambda: build(token=bytes(50))[:-3],
     'of another version': lambda: build(version=2),
     'of an unknown kind': lambda: build(kind=99),
@@ -187,7 +187,7 @@
             output = flow.handle_message(now, aim(message, own))
             output.datagrams += flow.tick(now).datagrams
             for data in output.datagrams:
-                assert len(data) <= msg.MAX_DATAGRAM
+                assert len(data) <= msg.MAX_DATAGRAM_BYTES
                 decode_datagram(data)
             now += 0.2
 
