--- a/cornelgap/core/window.py
+++ b/cornelgap/core/window.py
@@ -14,7 +14,7 @@
 _MASK = (1 << WINDOW_SIZE) - 1
 
 
-def check_number(top, seen, number):
+def is_new_number(top, seen, number):
     """Return whether a number is new.
 
     :param top: highest number seen, 0 if none.
--- a/cornelgap/entry/feeds.py
+++ b/cornelgap/entry/feeds.py
@@ -11,7 +11,7 @@
 from cornelgap.core import messages as msg
 from cornelgap.core.errors import Code
 from cornelgap.core.verdicts import report_may_have_run
-from cornelgap.core.window import check_number, mark_number
+from cornelgap.core.window import is_new_number, mark_number
 from cornelgap.entry.lookups import find_target, register_call
 from cornelgap.entry.replies import (
     refuse_datagram,
@@ -43,7 +43,7 @@
         feed.heard_at = now
         send_progress(state, now, flow, sub.number, feed.base)
         return
-    if not check_number(flow.top, flow.seen, sub.number):
+    if not is_new_number(flow.top, flow.seen, sub.number):
         # The feed has ended here; the caller subscribes anew if it wants.
         verdict = report_may_have_run(str(Code.REQ_TOO_OLD))
         send_report(state, now, flow, sub.number, verdict)
--- a/cornelgap/entry/requests.py
+++ b/cornelgap/entry/requests.py
@@ -19,7 +19,7 @@
     refuse_not_run,
     report_may_have_run,
 )
-from cornelgap.core.window import check_number, mark_number
+from cornelgap.core.window import is_new_number, mark_number
 from cornelgap.decisions.admission import Job
 from cornelgap.decisions.ends import CallEnd
 from cornelgap.entry import answers
@@ -52,7 +52,7 @@
     if kept is not None:
         _repeat_status(state, now, flow, kept, req.credit)
         return
-    if not check_number(flow.top, flow.seen, req.number):
+    if not is_new_number(flow.top, flow.seen, req.number):
         verdict = report_may_have_run(Code.REQ_TOO_OLD)
         send_report(state, now, flow, req.number, verdict)
         return
@@ -344,7 +344,7 @@
         credit = kept.answer.credit if kept.answer else 0
         _repeat_status(state, now, flow, kept, credit)
         return
-    if check_number(flow.top, flow.seen, query.number):
+    if is_new_number(flow.top, flow.seen, query.number):
         # Asking must not burn the number: a first copy may be on its way.
         verdict = Verdict(
             ran=RunState.UNKNOWN, code=str(Code.REQ_NEVER_SEEN), same_id=True
@@ -371,7 +371,7 @@
 
 def cancel_unseen(state, now, flow, number):
     """Cancel a number that never came, so that a late copy cannot run."""
-    if not check_number(flow.top, flow.seen, number):
+    if not is_new_number(flow.top, flow.seen, number):
         return
     flow.top, flow.seen = mark_number(flow.top, flow.seen, number)
     flow.kept = {} if flow.kept is None else flow.kept
--- a/features/proofs/naive_route.py
+++ b/features/proofs/naive_route.py
@@ -40,7 +40,7 @@
     @rule(number=NUMBERS)
     def offer_number(self, number):
         """Offer any number and mark it if it counts as new."""
-        fresh = window.check_number(self.top, self.seen, number)
+        fresh = window.is_new_number(self.top, self.seen, number)
         if fresh:
             assert number not in self.naive, 'an old number counts as new'
         elif number not in self.naive:
@@ -62,7 +62,7 @@
     def offer_old(self, pick):
         """Offer a copy of a number seen before: it must never be new."""
         number = pick.choice(sorted(self.naive))
-        assert not window.check_number(self.top, self.seen, number)
+        assert not window.is_new_number(self.top, self.seen, number)
 
     @rule()
     def hand_over(self):
--- a/features/proofs/switches.py
+++ b/features/proofs/switches.py
@@ -37,17 +37,17 @@
 
 
 def forget_old_numbers(patches):
-    def check_number(top, seen, number):
+    def is_new_number(top, seen, number):
         age = top - number
         if age >= window.WINDOW_SIZE:
             return True
         return number > top or not (seen >> age) & 1
 
-    patches.replace_function(window.check_number, check_number)
+    patches.replace_function(window.is_new_number, is_new_number)
 
 
 def skip_window(patches):
-    patches.replace_function(window.check_number, lambda *args: True)
+    patches.replace_function(window.is_new_number, lambda *args: True)
 
 
 def skip_tag(patches):
