--- a/cornelgap/core/token.py
+++ b/cornelgap/core/token.py
@@ -79,7 +79,7 @@
     return max(signing, key=_get_key_id) if signing else None
 
 
-def sign_bytes(key, body):
+def compute_tag(key, body):
     """Compute the tag of a body: its keyed hash.
 
     :returns: 16 bytes.
@@ -87,9 +87,9 @@
     return blake2b(body, key=key.secret, digest_size=TAG_BYTES).digest()
 
 
-def check_bytes(key, body, tag):
+def verify_tag(key, body, tag):
     """Return whether a tag is valid for a body; runs in constant time."""
-    return hmac.compare_digest(sign_bytes(key, body), tag)
+    return hmac.compare_digest(compute_tag(key, body), tag)
 
 
 def mint_token(key, token):
@@ -118,7 +118,7 @@
         + target
         + home
     )
-    return body + sign_bytes(key, body)
+    return body + compute_tag(key, body)
 
 
 def verify_token(keys, data):
@@ -138,12 +138,12 @@
     if key is None:
         raise CodedError(Code.PKT_KEY_UNKNOWN, 'key is not known', 'token')
     body = data[:-TAG_BYTES]
-    if not check_bytes(key, body, data[-TAG_BYTES:]):
+    if not verify_tag(key, body, data[-TAG_BYTES:]):
         raise CodedError(Code.PKT_TOKEN_FORGED, 'tag is not valid', 'token')
     return _decode_body(body)
 
 
-def peek_flow(data):
+def read_unverified_flow_id(data):
     """Read the flow id of a token without verifying the token.
 
     A refusal repeats the flow id, so that a caller accepts refusals only
--- a/cornelgap/entry/replies.py
+++ b/cornelgap/entry/replies.py
@@ -5,8 +5,8 @@
 from cornelgap.core.token import (
     Token,
     mint_token,
-    peek_flow,
     pick_signing_key,
+    read_unverified_flow_id,
 )
 from cornelgap.core.verdicts import report_unknown
 from cornelgap.entry.state import count_event, split_key
@@ -110,7 +110,7 @@
     refused = msg.Refused(
         service=message.service,
         nonce=getattr(message, 'nonce', 0),
-        flow=peek_flow(getattr(message, 'token', b'')),
+        flow=read_unverified_flow_id(getattr(message, 'token', b'')),
         number=getattr(message, 'number', 0),
         verdict=report_unknown(str(code), retry_after_ms),
     )
--- a/cornelgap/wire/peer_codec.py
+++ b/cornelgap/wire/peer_codec.py
@@ -10,7 +10,7 @@
 from google.protobuf.message import DecodeError
 
 from cornelgap.core.errors import Code, CodedError
-from cornelgap.core.token import check_bytes, pick_signing_key, sign_bytes
+from cornelgap.core.token import compute_tag, pick_signing_key, verify_tag
 from cornelgap.wire import peer_pb2 as pb
 
 
@@ -26,7 +26,7 @@
         return None
     body = datagram.SerializeToString()
     return pb.Sealed(
-        key_id=key.key_id, tag=sign_bytes(key, body), body=body
+        key_id=key.key_id, tag=compute_tag(key, body), body=body
     ).SerializeToString()
 
 
@@ -46,6 +46,6 @@
     key = keys.get(sealed.key_id)
     if key is None:
         raise CodedError(Code.PKT_KEY_UNKNOWN, f'unknown key {sealed.key_id}')
-    if not check_bytes(key, sealed.body, sealed.tag):
+    if not verify_tag(key, sealed.body, sealed.tag):
         raise CodedError(Code.NET_FORGED, 'signature is not valid')
     return pb.PeerDatagram.FromString(sealed.body)
--- a/features/proofs/switches.py
+++ b/features/proofs/switches.py
@@ -51,7 +51,7 @@
 
 
 def skip_tag(patches):
-    patches.replace_function(token.check_bytes, lambda *args: True)
+    patches.replace_function(token.verify_tag, lambda *args: True)
 
 
 def skip_limit_claim(patches):
