--- a/cornelgap/entry/peering.py
+++ b/cornelgap/entry/peering.py
@@ -10,7 +10,7 @@
 from cornelgap.core.stamps import Stamp
 from cornelgap.entry.state import count_event
 from cornelgap.wire import peer_pb2 as pb
-from cornelgap.wire.peer_codec import seal_datagram, unseal_datagram
+from cornelgap.wire.peer_codec import sign_peer_datagram, verify_peer_datagram
 
 ALIVE_EVERY_S = 0.2
 """Least time between two ALIVE to one peer; five a second are enough to
@@ -32,7 +32,7 @@
         api=state.api,
         **fields,
     )
-    sealed = seal_datagram(state.cfg.keys, datagram)
+    sealed = sign_peer_datagram(state.cfg.keys, datagram)
     if sealed is not None:
         state.effects.append(SendPeer(peer, sealed))
 
@@ -63,7 +63,7 @@
     :returns: the relayed datagram if it is one, else None.
     """
     try:
-        peer = unseal_datagram(state.cfg.keys, data)
+        peer = verify_peer_datagram(state.cfg.keys, data)
     except CodedError as exc:
         count_event(state, f'peer_refused_{exc.code}')
         return None
--- a/cornelgap/entry/routing.py
+++ b/cornelgap/entry/routing.py
@@ -31,7 +31,7 @@
 )
 from cornelgap.entry.state import Flow, count_event, make_key, pack_address
 from cornelgap.wire import caller_pb2 as pb
-from cornelgap.wire.caller_codec import decode_raw, parse_datagram
+from cornelgap.wire.caller_codec import decode_message, parse_datagram
 
 BEHIND_RETRY_MS = 200
 """A configuration reaches an instance that lags within about this time."""
@@ -62,7 +62,7 @@
             pick_retry_after_ms(state.rng, OVERLOADED_RETRY_MS),
         )
     elif raw.kind == pb.OPEN:
-        message = decode_raw(raw, len(data))
+        message = decode_message(raw, len(data))
         _open_flow(state, now, message, data, address, hops)
     elif raw.kind in _HANDLERS:
         _route_message(state, now, raw, data, address, hops)
@@ -210,7 +210,9 @@
         send_moved_here(state, now, flow)
     else:
         note_expiry(state, now, flow, token.expiry)
-    _HANDLERS[message.kind](state, now, flow, decode_raw(message, size), size)
+    _HANDLERS[message.kind](
+        state, now, flow, decode_message(message, size), size
+    )
 
 
 def _create_flow(state, now, message, token, address, size):
--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -26,7 +26,7 @@
     :returns: a message of :mod:`cornelgap.core.messages`.
     :raises CodedError: with a ``PKT`` code; ``place`` names the field.
     """
-    return decode_raw(parse_datagram(data), len(data))
+    return decode_message(parse_datagram(data), len(data))
 
 
 def parse_datagram(data):
@@ -59,7 +59,7 @@
     return raw
 
 
-def decode_raw(raw, size):
+def decode_message(raw, size):
     """Check the fields of a parsed datagram and build its typed message.
 
     :param raw: result of :func:`parse_datagram`.
--- a/cornelgap/wire/peer_codec.py
+++ b/cornelgap/wire/peer_codec.py
@@ -4,7 +4,7 @@
 anyone who can send to the peer socket could make an entry instance send
 answers to any address.
 
-To seal means to sign here: the content is authenticated, not encrypted.
+The content is authenticated, not encrypted.
 """
 
 from google.protobuf.message import DecodeError
@@ -14,7 +14,7 @@
 from cornelgap.wire import peer_pb2 as pb
 
 
-def seal_datagram(keys, datagram):
+def sign_peer_datagram(keys, datagram):
     """Encode and sign a peer datagram.
 
     :param keys: key ring by key id.
@@ -30,7 +30,7 @@
     ).SerializeToString()
 
 
-def unseal_datagram(keys, data):
+def verify_peer_datagram(keys, data):
     """Verify and decode a peer datagram.
 
     :raises CodedError: ``NET_FORGED`` if the signature is not valid or the
