--- a/cornelgap/core/control.py
+++ b/cornelgap/core/control.py
@@ -51,19 +51,19 @@
     """State of the packet actor that the control actors read.
 
     :param stamp: stamp of the configuration in force.
-    :param ahead: :class:`PeerRevision` of each peer that says it has a
+    :param newer_peers: :class:`PeerRevision` of each peer that says it has a
         later configuration.
-    :param behind_signs: number of packets so far that suggest that the
+    :param outdated_cfg_hints: number of packets so far that suggest that the
         configuration in force is outdated: their token comes from a later
         configuration, or names a key that is not known here.
-    :param unknown_peers: whether a datagram could not be sent to a peer
+    :param has_unknown_addresses: whether a datagram could not be sent to a peer
         because its address is not known.
     :param live: each live :class:`Instance` except this one; None if they
         were not listed this time.
     """
 
     stamp: Stamp
-    ahead: tuple = ()
-    behind_signs: int = 0
-    unknown_peers: bool = False
+    newer_peers: tuple = ()
+    outdated_cfg_hints: int = 0
+    has_unknown_addresses: bool = False
     live: tuple | None = None
--- a/cornelgap/entry/cfg_actor.py
+++ b/cornelgap/entry/cfg_actor.py
@@ -160,7 +160,7 @@
         self._act()
 
     def _take_view(self, message):
-        if message.view.unknown_peers:
+        if message.view.has_unknown_addresses:
             tell_service(self.scope, INSTANCES, ListSoon())
         self._distribution.note_view(time.monotonic(), message.view)
         self._act()
--- a/cornelgap/entry/distribution.py
+++ b/cornelgap/entry/distribution.py
@@ -138,12 +138,12 @@
         """Take in a :class:`cornelgap.core.control.ControlView`."""
         if view.live is not None:
             self._live = view.live
-        self._ahead = view.ahead
-        for peer in view.ahead:
+        self._ahead = view.newer_peers
+        for peer in view.newer_peers:
             self.wanted = max(self.wanted, peer.stamp)
-        if view.behind_signs > self._signs:
+        if view.outdated_cfg_hints > self._signs:
             self._note_hint(now)
-        self._signs = view.behind_signs
+        self._signs = view.outdated_cfg_hints
 
     def note_watch_item(self, now, stamp):
         """A watch delivered a root of this place."""
--- a/cornelgap/entry/views.py
+++ b/cornelgap/entry/views.py
@@ -27,9 +27,11 @@
     live = tuple(members.list_live_instances(now)) if with_live else None
     return ControlView(
         stamp=stamp,
-        ahead=tuple(members.list_newer_peers(stamp)),
-        behind_signs=sum(state.counters[name] for name in _BEHIND_COUNTERS),
-        unknown_peers=members.has_missing_address(),
+        newer_peers=tuple(members.list_newer_peers(stamp)),
+        outdated_cfg_hints=sum(
+            state.counters[name] for name in _BEHIND_COUNTERS
+        ),
+        has_unknown_addresses=members.has_missing_address(),
         live=live,
     )
 
--- a/features/steps/distribution_steps.py
+++ b/features/steps/distribution_steps.py
@@ -40,13 +40,13 @@
         self.actions += new
         return new
 
-    def view(self, ahead=(), live=None):
+    def view(self, newer_peers=(), live=None):
         self.dist.note_view(
             self.now,
             ControlView(
                 stamp=self.dist.stamp,
-                ahead=tuple(ahead),
-                behind_signs=self.signs,
+                newer_peers=tuple(newer_peers),
+                outdated_cfg_hints=self.signs,
                 live=live,
             ),
         )
@@ -145,11 +145,11 @@
 
 @when('the distribution hears that "{names}" has revision {revision:d}')
 def hear_revision(context, names, revision):
-    ahead = [
+    newer_peers = [
         PeerRevision(name, f'{name}:1', Stamp(1, revision))
         for name in names.split(',')
     ]
-    context.driver.view(ahead)
+    context.driver.view(newer_peers)
 
 
 @when("the distribution's watch shows revision {revision:d}")
