--- a/cornelgap/call/flow.py
+++ b/cornelgap/call/flow.py
@@ -475,7 +475,7 @@
         msg.Opened: _handle_opened,
         msg.Chunk: _handle_chunk,
         msg.Event: _handle_event,
-        msg.Report: _handle_report,
+        msg.VerdictReport: _handle_report,
         msg.Progress: _handle_progress,
         msg.Moved: _handle_moved,
         msg.Refused: _handle_refused,
--- a/cornelgap/core/messages.py
+++ b/cornelgap/core/messages.py
@@ -170,7 +170,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class VerdictReport:
     """The final verdict on a request id."""
 
     flow: bytes
--- a/cornelgap/entry/replies.py
+++ b/cornelgap/entry/replies.py
@@ -75,7 +75,7 @@
     send_message(
         state,
         flow.address,
-        msg.Report(
+        msg.VerdictReport(
             flow_id, epoch, number, verdict, take_renewal(state, now, flow)
         ),
     )
--- a/cornelgap/wire/caller_codec.py
+++ b/cornelgap/wire/caller_codec.py
@@ -181,7 +181,7 @@
 
 
 def _decode_report(raw, size):
-    return msg.Report(
+    return msg.VerdictReport(
         raw.flow, raw.epoch, raw.number, _decode_verdict(raw), raw.token
     )
 
@@ -407,7 +407,7 @@
     msg.Opened: _encode_opened,
     msg.Chunk: _encode_chunk,
     msg.Event: _encode_event,
-    msg.Report: _encode_report,
+    msg.VerdictReport: _encode_report,
     msg.Progress: _encode_progress,
     msg.Moved: _encode_moved,
     msg.Refused: _encode_refused,
--- a/features/proofs/hand.py
+++ b/features/proofs/hand.py
@@ -115,7 +115,7 @@
             self.deliver_peers()
 
     def _note_told(self, message):
-        if isinstance(message, msg.Report):
+        if isinstance(message, msg.VerdictReport):
             req = rec.ReqId(message.flow, message.epoch, message.number)
             if message.verdict.ran is not RunState.UNKNOWN:
                 self.tape.note(rec.Judged('c1', req, message.verdict.ran))
--- a/features/proofs/naive_codec.py
+++ b/features/proofs/naive_codec.py
@@ -86,7 +86,7 @@
         token=TOKENS,
     ),
     st.builds(
-        msg.Report,
+        msg.VerdictReport,
         flow=FLOWS,
         epoch=U64,
         number=U64,
--- a/features/proofs/part_stories.py
+++ b/features/proofs/part_stories.py
@@ -288,7 +288,7 @@
         request = msg.Request('booking', token, 1, b'hold', deadline_ms=20000)
         told += desk.send('e1', request, address)
     admission = desk.engines['e1'].state.admissions['booking']
-    refused = pick(told, msg.Report)
+    refused = pick(told, msg.VerdictReport)
     lines = []
     if admission.waiting > limit:
         lines.append(f'{admission.waiting} requests wait, {limit} may')
--- a/features/proofs/steps.py
+++ b/features/proofs/steps.py
@@ -12,7 +12,7 @@
     msg.Event: 'feed chunk',
     msg.Ack: 'acknowledge',
     msg.OutcomeQuery: 'outcome query',
-    msg.Report: 'report',
+    msg.VerdictReport: 'report',
     msg.Moved: 're-home',
 }
 
--- a/features/proofs/stories.py
+++ b/features/proofs/stories.py
@@ -38,7 +38,9 @@
             name, effect = desk.runs.pop(0)
             desk.end_call(name, effect, CallEnd.SHED, RunState.NOT_RUN)
         desk.pass_time(SHED_TURN_S)
-        if any(isinstance(message, msg.Report) for message, _ in desk.told):
+        if any(
+            isinstance(message, msg.VerdictReport) for message, _ in desk.told
+        ):
             return
     raise AssertionError('never refused')
 
--- a/features/steps/packets_steps.py
+++ b/features/steps/packets_steps.py
@@ -64,7 +64,7 @@
         msg.Chunk, ids, words, words, words, payloads, st.booleans(), tokens
     ),
     st.builds(msg.Event, ids, words, words, words, payloads, tokens),
-    st.builds(msg.Report, ids, words, words, verdicts, tokens),
+    st.builds(msg.VerdictReport, ids, words, words, verdicts, tokens),
     st.builds(msg.Progress, ids, words, words, words, short, tokens),
     st.builds(msg.Moved, names, ids, words, words, tokens),
     st.builds(msg.Refused, names, words, ids, words, verdicts),
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -240,7 +240,7 @@
 @then('the only answer is a report with "{code}"')
 def check_report(context, code):
     (report,) = context.answers
-    assert isinstance(report, msg.Report), report
+    assert isinstance(report, msg.VerdictReport), report
     assert report.verdict.code == code, report
 
 
