--- a/cornelgap/entry/cfg_actor.py
+++ b/cornelgap/entry/cfg_actor.py
@@ -25,8 +25,8 @@
 from cornelgap.entry.instances import INSTANCES, ListSoon
 from cornelgap.entry.packets import AdoptCfg, PeersHinted, ReadState
 from cornelgap.entry.views import read_view
-from cornelgap.kernel.names import tell_ref, tell_service
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor, tell_ref
 
 CFG = 'cfg'
 PULSE_S = 0.1
@@ -96,7 +96,7 @@
     known_stamp: Stamp
 
 
-class CfgActor(Service):
+class CfgActor(NamedActor):
     """Owns the bundle in force and the ways to a newer one.
 
     :param distribution: :class:`cornelgap.entry.distribution.Distribution`.
@@ -161,7 +161,7 @@
 
     def _take_view(self, message):
         if message.view.has_unknown_addresses:
-            tell_service(self.scope, INSTANCES, ListSoon())
+            tell_actor(self.scope, INSTANCES, ListSoon())
         self._distribution.note_view(time.monotonic(), message.view)
         self._act()
 
--- a/cornelgap/entry/instances.py
+++ b/cornelgap/entry/instances.py
@@ -18,8 +18,8 @@
     Poll,
 )
 from cornelgap.entry.packets import InstancesListed
+from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.kernel.names import tell_ref
-from cornelgap.kernel.service import Service
 from cornelgap.wire import platform_pb2
 
 INSTANCES = 'instances'
@@ -51,7 +51,7 @@
     answer: object
 
 
-class InstancesActor(Service):
+class InstancesActor(NamedActor):
     """Registers this instance and reads the lists, one call at a time.
 
     :param own: :class:`cornelgap.core.control.Instance` of this process.
--- a/cornelgap/entry/node.py
+++ b/cornelgap/entry/node.py
@@ -40,7 +40,7 @@
     open_channel,
 )
 from cornelgap.kernel.loops import LoopThread
-from cornelgap.kernel.names import get_service, tell_service
+from cornelgap.kernel.names import get_actor, tell_actor
 from cornelgap.kernel.supervision import Supervisor
 
 START_S = 10.0
@@ -103,8 +103,8 @@
     def leave(self):
         """Begin a planned stop; :attr:`ended` is set when it is complete."""
         name = self.settings.name
-        tell_service(name, PACKETS, Leave())
-        tell_service(name, INSTANCES, AnnounceLeaving())
+        tell_actor(name, PACKETS, Leave())
+        tell_actor(name, INSTANCES, AnnounceLeaving())
 
     def stop(self):
         """Stop all tasks, last started first."""
@@ -171,7 +171,7 @@
         return ref
 
     def _report_events(self, events):
-        tell_service(self.settings.name, PACKETS, CallEvents(events))
+        tell_actor(self.settings.name, PACKETS, CallEvents(events))
 
     def _start_control(self, packets):
         settings = self.settings
@@ -209,7 +209,7 @@
         )
 
     def _ask_cfg(self, known, known_stamp):
-        ref = get_service(self.settings.name, CFG)
+        ref = get_actor(self.settings.name, CFG)
         return ref.ask(ReadBundle(known, known_stamp), block=False)
 
     def _ask_peers(self):
@@ -219,9 +219,9 @@
         def read(state, now):
             return [own, *state.membership.list_live_instances(now)]
 
-        ref = get_service(settings.name, PACKETS)
+        ref = get_actor(settings.name, PACKETS)
         return ref.ask(ReadState(read), block=False)
 
     def _ask_handover(self, records):
-        ref = get_service(self.settings.name, PACKETS)
+        ref = get_actor(self.settings.name, PACKETS)
         return ref.ask(TakeHandover(records), block=False)
--- a/cornelgap/entry/operations.py
+++ b/cornelgap/entry/operations.py
@@ -23,8 +23,8 @@
 from cornelgap.kernel.metrics import MetricsActor
 from cornelgap.kernel.names import (
     ServiceMissing,
-    get_service,
-    tell_service,
+    get_actor,
+    tell_actor,
 )
 from cornelgap.kernel.supervision import (
     PROBE_EVERY_S,
@@ -107,11 +107,11 @@
     def watch_actors(self, scope):
         """Let the supervisor probe the actors; all of them run by now."""
         for name, probe in _PROBES:
-            ref = get_service(scope, name)
-            tell_service(scope, SUPERVISOR, WatchActor(name, ref, probe))
+            ref = get_actor(scope, name)
+            tell_actor(scope, SUPERVISOR, WatchActor(name, ref, probe))
         self._stop_probes = self._loops.call_every(
             PROBE_EVERY_S,
-            lambda: tell_service(scope, SUPERVISOR, ProbeActors()),
+            lambda: tell_actor(scope, SUPERVISOR, ProbeActors()),
         )
 
     def stop(self):
@@ -125,15 +125,13 @@
 
 
 def _ask_state(scope, read):
-    return get_service(scope, PACKETS).ask(ReadState(read), block=False)
+    return get_actor(scope, PACKETS).ask(ReadState(read), block=False)
 
 
 def _read_samples(scope, started):
     read = functools.partial(read_samples, started=started)
     samples = _ask_state(scope, read).get(timeout=ANSWER_S)
-    crashes = get_service(scope, SUPERVISOR).ask(
-        CountCrashes(), timeout=ANSWER_S
-    )
+    crashes = get_actor(scope, SUPERVISOR).ask(CountCrashes(), timeout=ANSWER_S)
     return samples + read_process() + list_crashes(crashes)
 
 
--- a/cornelgap/entry/packets.py
+++ b/cornelgap/entry/packets.py
@@ -13,7 +13,7 @@
 from cornelgap.core import calls
 from cornelgap.entry.handover import HandOver
 from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
 
 PACKETS = 'packets'
 
@@ -137,7 +137,7 @@
     return host, int(port)
 
 
-class PacketActor(Service):
+class PacketActor(NamedActor):
     """Task that owns the public socket, the peer socket and the engine.
 
     :param engine: :class:`~cornelgap.entry.engine.Engine`, given away.
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -44,8 +44,8 @@
 from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
-from cornelgap.kernel.names import tell_service
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor
 
 DIRECTORY = 'directory'
 TICK_S = 0.25
@@ -99,7 +99,7 @@
     capacity: int
 
 
-class DirectoryActor(Service):
+class DirectoryActor(NamedActor):
     """Keeps the newest facts and spreads them.
 
     :param own: this instance,
@@ -171,7 +171,7 @@
 
     def begin(self):
         """List all facts once: nobody can be asked yet."""
-        tell_service(self.scope, FOLLOWER, ListOnce())
+        tell_actor(self.scope, FOLLOWER, ListOnce())
 
     def end(self):
         """Close the socket."""
@@ -249,7 +249,7 @@
         news = intake.take_beat(self._directory, beat, changes, now)
         if News.BEHIND in news:
             fetch = Fetch(beat.host, self._beats.key)
-            tell_service(self.scope, FETCHER, fetch)
+            tell_actor(self.scope, FETCHER, fetch)
         if news & {News.CHANGED, News.CONFIRMED}:
             self._tell(News.CHANGED in news)
 
@@ -308,7 +308,7 @@
             self._on_complete()
 
     def _tell_packets(self, message):
-        tell_service(self.scope, FORWARDING, message)
+        tell_actor(self.scope, FORWARDING, message)
 
     def _tick(self, _message):
         now = self._turn_at
@@ -346,7 +346,7 @@
             return
         host = self._neighbours.choose_seed(now)
         if host is not None:
-            tell_service(self.scope, FETCHER, Fetch(host, None))
+            tell_actor(self.scope, FETCHER, Fetch(host, None))
 
     def _send_regular(self, now):
         neighbours = self._neighbours
@@ -400,7 +400,7 @@
                     'age_s': round(self._directory.compute_age(now), 3),
                 },
             )
-            tell_service(self.scope, FOLLOWER, Follow(active))
+            tell_actor(self.scope, FOLLOWER, Follow(active))
 
     def _send_beat(self, hosts, zone, **parts):
         if zone == self._own.zone:
--- a/cornelgap/forwarding/fetcher.py
+++ b/cornelgap/forwarding/fetcher.py
@@ -13,9 +13,9 @@
 from cornelgap.core.errors import CodedError
 from cornelgap.forwarding.facts import read_clock
 from cornelgap.forwarding.peer_messages import unpack_snapshot
-from cornelgap.kernel.names import tell_service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor
 from cornelgap.kernel.pages import make_tcp_server
-from cornelgap.kernel.service import Service
 
 FETCHER = 'fetcher'
 FETCH_S = 1.0
@@ -47,7 +47,7 @@
     sent_at: float
 
 
-class Fetcher(Service):
+class Fetcher(NamedActor):
     """Fetches one snapshot at a time.
 
     :param receiver: name of the service that gets them.
@@ -77,7 +77,7 @@
             )
             return
         found = SnapshotFetched(message.host, snapshot, now)
-        tell_service(self.scope, self._receiver, found)
+        tell_actor(self.scope, self._receiver, found)
 
 
 def make_server(address, read_snapshot):
--- a/cornelgap/forwarding/follower.py
+++ b/cornelgap/forwarding/follower.py
@@ -13,8 +13,8 @@
 from cornelgap.core.errors import Code, CodedError
 from cornelgap.decisions.backoff import compute_backoff
 from cornelgap.forwarding.facts import TargetsChanged
-from cornelgap.kernel.names import tell_service
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor
 
 RETRY_S = 0.3
 """Pause after a failed call; with jitter of half of it either way, so that
@@ -57,7 +57,7 @@
     """Message to itself: make the next call."""
 
 
-class Follower(Service):
+class Follower(NamedActor):
     """Follows one source.
 
     :param source: offers ``list_facts()`` and ``watch_facts(wait_s)``, both
@@ -132,7 +132,7 @@
         else:
             found = self._source.list_facts()
         for fact in found:
-            tell_service(self.scope, self._receiver, fact)
+            tell_actor(self.scope, self._receiver, fact)
         self._listed = True
         self._wanted = False
         if self._failures:
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -14,8 +14,8 @@
 from cornelgap.forwarding.sockets import drop_waiting
 from cornelgap.forwarding.zone_standing import DropOpenings
 from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
-from cornelgap.kernel.names import tell_service
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor
 
 FORWARDING = 'forwarding'
 TICK_S = 0.25
@@ -150,7 +150,7 @@
     format_ip: object
 
 
-class PacketActor(Service):
+class PacketActor(NamedActor):
     """Forwards packets.
 
     :param engine: :class:`cornelgap.forwarding.engine.Engine`.
@@ -391,7 +391,7 @@
         self._reset_lost()
 
     def _tell(self, message):
-        tell_service(self.scope, self._receiver, message)
+        tell_actor(self.scope, self._receiver, message)
 
     def _take_outcomes(self, message):
         self._engine.note_zone_outcomes(message.outcomes, self._turn_at)
--- a/cornelgap/kernel/metrics.py
+++ b/cornelgap/kernel/metrics.py
@@ -13,7 +13,7 @@
 from aioprometheus import Counter, Gauge, Registry, render
 
 from cornelgap.kernel.loops import LoopThread
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
 
 METRICS = 'metrics'
 COUNTER = 'counter'
@@ -140,7 +140,7 @@
     return metric.name
 
 
-class MetricsActor(Service):
+class MetricsActor(NamedActor):
     """Runs the HTTP server of ``/metrics`` and ``/ready`` in its own thread.
 
     :param address: ``host:port``; for port 0 the operating system chooses.
--- a/cornelgap/kernel/service.py
+++ b/cornelgap/kernel/named_actor.py
@@ -10,7 +10,7 @@
 _LOG = logging.getLogger('cornelgap.supervision')
 
 
-class Service(pykka.ThreadingActor):
+class NamedActor(pykka.ThreadingActor):
     """An actor that others find by its name within a scope.
 
     A subclass sets :attr:`handlers`, a dict from message type to the method
--- a/cornelgap/kernel/names.py
+++ b/cornelgap/kernel/names.py
@@ -1,22 +1,22 @@
-"""Lookup of services, the named actors, in pykka's actor registry.
+"""Lookup of named actors in pykka's actor registry.
 
 A name is unique within a scope, which is the name of an instance.  Several
 instances may run in one process, as in tests; because of the scope they
-never find each other's services.
+never find each other's actors.
 """
 
 import pykka
 
 
 class ServiceMissing(LookupError):
-    """No service with this name is running.
+    """No actor with this name is running.
 
     Keep the class name: the ``/ready`` page reports it as ``problem``.
     """
 
 
 def make_urn(scope, name):
-    """Return the key of a service in the actor registry."""
+    """Return the key of a named actor in the actor registry."""
     return f'cornelgap:{scope}:{name}'
 
 
@@ -31,8 +31,8 @@
     actor.actor_ref.actor_urn = actor.actor_urn
 
 
-def find_service(scope, name):
-    """Find a running service.
+def find_actor(scope, name):
+    """Find a running actor by its name.
 
     :returns: its :class:`pykka.ActorRef`, or None if there is none.
     """
@@ -40,13 +40,13 @@
     return ref if ref is not None and ref.is_alive() else None
 
 
-def get_service(scope, name):
-    """Get a running service.
+def get_actor(scope, name):
+    """Get a running actor by its name.
 
     :returns: its :class:`pykka.ActorRef`.
     :raises ServiceMissing: if there is none.
     """
-    ref = find_service(scope, name)
+    ref = find_actor(scope, name)
     if ref is None:
         raise ServiceMissing(name)
     return ref
@@ -67,10 +67,10 @@
     return True
 
 
-def tell_service(scope, name, message):
-    """Send a message to a service if it is running.
+def tell_actor(scope, name, message):
+    """Send a message to a named actor if it is running.
 
-    :returns: whether the message was put into the service's inbox.
+    :returns: whether the message was put into the actor's inbox.
     """
-    ref = find_service(scope, name)
+    ref = find_actor(scope, name)
     return ref is not None and tell_ref(ref, message)
--- a/cornelgap/kernel/supervision.py
+++ b/cornelgap/kernel/supervision.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from cornelgap.core.errors import Code
-from cornelgap.kernel.names import set_actor_name, tell_service
+from cornelgap.kernel.names import set_actor_name, tell_actor
 
 SUPERVISOR = 'supervisor'
 
@@ -80,7 +80,7 @@
         },
         exc_info=exc,
     )
-    tell_service(scope, SUPERVISOR, ActorCrashed(name, text))
+    tell_actor(scope, SUPERVISOR, ActorCrashed(name, text))
 
 
 class _WatchedActor(Struct):
--- a/cornelgap/platform/keys.py
+++ b/cornelgap/platform/keys.py
@@ -5,8 +5,8 @@
 
 from msgspec import Struct
 
-from cornelgap.kernel.names import tell_service
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
+from cornelgap.kernel.names import tell_actor
 from cornelgap.platform.store import Conflict, StoreError
 
 KEYS = 'keys'
@@ -22,7 +22,7 @@
     """Message: read the key, again if it is known."""
 
 
-class KeyKeeper(Service):
+class KeyKeeper(NamedActor):
     """Learns the key and keeps it in the store.
 
     :param client: :class:`~cornelgap.platform.store.StoreClient` of its own.
@@ -43,7 +43,7 @@
 
     def begin(self):
         """Learn the key."""
-        tell_service(self.scope, KEYS, CheckKey())
+        tell_actor(self.scope, KEYS, CheckKey())
 
     def end(self):
         """Close the connection."""
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -34,7 +34,7 @@
     ReadCounts,
 )
 from cornelgap.kernel.logs import LineHandler, RateFilter, configure_logs
-from cornelgap.kernel.names import tell_service
+from cornelgap.kernel.names import tell_actor
 from cornelgap.kernel.pages import make_server
 from cornelgap.kernel.supervision import Supervisor, report_crash
 from cornelgap.platform import layout
@@ -135,7 +135,7 @@
         fetcher.Fetcher.start(name, port, DIRECTORY)
         self._client = StoreClient.from_settings(settings)
         source = StoreSource(
-            self._client, lambda: tell_service(name, KEYS, CheckKey())
+            self._client, lambda: tell_actor(name, KEYS, CheckKey())
         )
         Follower.start(name, source, DIRECTORY, wait_s, rng, time.sleep)
         self._directory = DirectoryActor.start(
@@ -168,7 +168,7 @@
             DIRECTORY: AdoptSettings(wait_s, settings.seeds, settings.capacity),
         }
         for service, message in messages.items():
-            tell_service(settings.name, service, message)
+            tell_actor(settings.name, service, message)
 
     def _read_snapshot(self):
         return self._directory.ask(ReadSnapshot(), timeout=fetcher.FETCH_S)
--- a/features/kernel.feature
+++ b/features/kernel.feature
@@ -1,31 +1,31 @@
-Feature: The kernel finds services, notices crashes, logs and counts
+Feature: The kernel finds actors, notices crashes, logs and counts
 
-  Scenario: Services of two instances in one process never find each other's
-    Given a kernel service "part" in the scope "e1"
+  Scenario: Actors of two instances in one process never find each other
+    Given a kernel actor "part" in the scope "e1"
     Then the kernel finds "part" in the scope "e1"
     And the kernel finds no "part" in the scope "e2"
-    When the kernel service is stopped
+    When the kernel actor is stopped
     Then the kernel finds no "part" in the scope "e1"
-    And telling the kernel service "part" in "e1" says that it is gone
+    And telling the kernel actor "part" in "e1" says that it is gone
 
   Scenario: A crashed actor is noticed, logged with its code and counted
     An actor meets an input that its author did not think of and dies. The
     process goes on answering without it, and nobody would know.
 
     Given a kernel supervisor in the scope "e1"
-    And a kernel service "part" in the scope "e1"
-    When the kernel service breaks in a turn
+    And a kernel actor "part" in the scope "e1"
+    When the kernel actor breaks in a turn
     Then the kernel supervisor hears of a crash of "part"
     And the kernel logged the code "NET-004" for "part"
     And the kernel supervisor counts 1 crash of "part"
-    And the kernel service closed what it owned
+    And the kernel actor closed what it owned
 
   Scenario: An actor that fails while it starts is noticed too
     The port of the metrics is in use. The library that runs the actors
     calls no hook for this, and the process would run on unwatched.
 
     Given a kernel supervisor in the scope "e1"
-    When a kernel service "part" in the scope "e1" breaks at its start
+    When a kernel actor "part" in the scope "e1" breaks at its start
     Then the kernel supervisor hears of a crash of "part"
 
   Scenario: An actor that hangs is noticed after a while
@@ -33,17 +33,17 @@
     its configuration would stay as it is for ever.
 
     Given a kernel supervisor in the scope "e1"
-    And a kernel service "part" in the scope "e1"
+    And a kernel actor "part" in the scope "e1"
     And the kernel supervisor watches "part"
-    When the kernel service hangs
+    When the kernel actor hangs
     And the kernel supervisor probes at 0 s and at 11 s
     Then the kernel supervisor hears of a crash of "part"
 
   Scenario: An actor that answers its probes is left alone
     Given a kernel supervisor in the scope "e1"
-    And a kernel service "part" in the scope "e1"
+    And a kernel actor "part" in the scope "e1"
     And the kernel supervisor watches "part"
-    When the kernel service has answered the probe at 0 s
+    When the kernel actor has answered the probe at 0 s
     And the kernel supervisor probes at 11 s
     Then the kernel supervisor counts 0 crashes of "part"
 
--- a/features/steps/entry_admin_steps.py
+++ b/features/steps/entry_admin_steps.py
@@ -16,7 +16,7 @@
 from cornelgap.entry.settings import Settings, load_settings
 from cornelgap.entry.trust import load_trust
 from cornelgap.kernel.metrics import METRICS, GetPort
-from cornelgap.kernel.names import get_service
+from cornelgap.kernel.names import get_actor
 from cornelgap.wire import admin_pb2
 from cornelgap.wire.admin_pb2_grpc import AdminStub
 from standins.memory import MemoryStore
@@ -214,7 +214,7 @@
 
 
 def get_page(context, path):
-    port = get_service(context.node.settings.name, METRICS).ask(GetPort())
+    port = get_actor(context.node.settings.name, METRICS).ask(GetPort())
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -24,7 +24,7 @@
     ListOnce,
 )
 from cornelgap.forwarding.stamps import Stamp
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.platform.keys import learn_key
 from cornelgap.platform.sources import StoreSource
 from cornelgap.platform.store import (
@@ -214,7 +214,7 @@
     context.store.put('config', 'main', {'version': 2, 'routes': routes})
 
 
-class Receiver(Service):
+class Receiver(NamedActor):
     """Hears what a follower tells."""
 
     def __init__(self, scope, heard):
--- a/features/steps/kernel_steps.py
+++ b/features/steps/kernel_steps.py
@@ -30,7 +30,7 @@
     Sample,
     format_catalogue,
 )
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
 
 WAIT_S = 20
 PIPE_BYTES = 4 * 1024 * 1024
@@ -59,8 +59,8 @@
     """Message: answer."""
 
 
-class Part(Service):
-    """A service that breaks or hangs when told."""
+class Part(NamedActor):
+    """An actor that breaks or hangs when told."""
 
     def __init__(self, scope, name, ended, fails=False):
         super().__init__(scope, name)
@@ -89,14 +89,14 @@
         return True
 
 
-@given('a kernel service "{name}" in the scope "{scope}"')
+@given('a kernel actor "{name}" in the scope "{scope}"')
 def start_part(context, name, scope):
     context.ended = threading.Event()
     context.part = Part.start(scope, name, context.ended)
     context.cleanups.append(context.part.stop)
 
 
-@when('a kernel service "{name}" in the scope "{scope}" breaks at its start')
+@when('a kernel actor "{name}" in the scope "{scope}" breaks at its start')
 def start_broken(context, name, scope):
     Part.start(scope, name, threading.Event(), fails=True)
 
@@ -129,17 +129,17 @@
     context.supervisor.tell(supervision.WatchActor(name, context.part, Probe()))
 
 
-@when('the kernel service is stopped')
+@when('the kernel actor is stopped')
 def stop_part(context):
     context.part.stop()
 
 
-@when('the kernel service breaks in a turn')
+@when('the kernel actor breaks in a turn')
 def break_part(context):
     context.part.tell(Break())
 
 
-@when('the kernel service hangs')
+@when('the kernel actor hangs')
 def hang_part(context):
     until = threading.Event()
     context.cleanups.append(until.set)
@@ -152,7 +152,7 @@
     probe(context, 11)
 
 
-@when('the kernel service has answered the probe at 0 s')
+@when('the kernel actor has answered the probe at 0 s')
 def probe_answered(context):
     probe(context, 0)
     context.part.ask(Probe())
@@ -166,17 +166,17 @@
 
 @then('the kernel finds "{name}" in the scope "{scope}"')
 def check_found(context, name, scope):
-    assert names.get_service(scope, name) is not None
+    assert names.get_actor(scope, name) is not None
 
 
 @then('the kernel finds no "{name}" in the scope "{scope}"')
 def check_missing(context, name, scope):
-    assert names.find_service(scope, name) is None
+    assert names.find_actor(scope, name) is None
 
 
-@then('telling the kernel service "{name}" in "{scope}" says that it is gone')
+@then('telling the kernel actor "{name}" in "{scope}" says that it is gone')
 def check_tell(context, name, scope):
-    assert not names.tell_service(scope, name, Probe())
+    assert not names.tell_actor(scope, name, Probe())
     assert not names.tell_ref(context.part, Probe())
 
 
@@ -199,7 +199,7 @@
     assert crashes.get(name, 0) == count, crashes
 
 
-@then('the kernel service closed what it owned')
+@then('the kernel actor closed what it owned')
 def check_ended(context):
     assert context.ended.wait(WAIT_S)
 
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -46,7 +46,7 @@
 )
 from cornelgap.forwarding.packets import Reason
 from cornelgap.forwarding.stamps import ConfigStamp, Stamp
-from cornelgap.kernel.service import Service
+from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.platform import settings_watch
 from cornelgap.platform.node import Node
 from cornelgap.platform.settings import (
@@ -110,8 +110,8 @@
 )
 
 
-class Collector(Service):
-    """Keeps the messages that are told to a service."""
+class Collector(NamedActor):
+    """Keeps the messages that are sent to an actor."""
 
     def __init__(self, scope, name, heard):
         """Put all messages into a queue."""
