--- a/cornelgap/entry/cfg_actor.py
+++ b/cornelgap/entry/cfg_actor.py
@@ -26,7 +26,7 @@
 from cornelgap.entry.packets import AdoptCfg, PeersHinted, ReadState
 from cornelgap.entry.views import read_view
 from cornelgap.kernel.named_actor import NamedActor
-from cornelgap.kernel.names import tell_actor, tell_ref
+from cornelgap.kernel.names import tell_actor, tell_if_alive
 
 CFG = 'cfg'
 PULSE_S = 0.1
@@ -138,7 +138,7 @@
         """Begin to look and decide at once."""
         ref = self.actor_ref
         self._stop_pulse = self._loops.call_every(
-            PULSE_S, lambda: tell_ref(ref, Pulse())
+            PULSE_S, lambda: tell_if_alive(ref, Pulse())
         )
 
     def end(self):
@@ -154,9 +154,9 @@
 
         def read(state, now):
             # The packet actor answers by a message: nobody waits.
-            tell_ref(ref, ViewTaken(read_view(state, now, with_live)))
+            tell_if_alive(ref, ViewTaken(read_view(state, now, with_live)))
 
-        tell_ref(self._packet, ReadState(read))
+        tell_if_alive(self._packet, ReadState(read))
         self._act()
 
     def _take_view(self, message):
@@ -201,7 +201,7 @@
                 Instance(peer.name, peer.zone, peer.address, peer.api)
                 for peer in reply.peers
             ]
-            tell_ref(self._packet, PeersHinted(hints))
+            tell_if_alive(self._packet, PeersHinted(hints))
 
     def _decode_reply(self, now, name, reply):
         bundle = document.complete_bundle(reply.document, self._bundle)
@@ -232,7 +232,7 @@
 
     def _adopt(self, cfg, bundle):
         self._bundle = bundle
-        tell_ref(self._packet, AdoptCfg(cfg, bundle))
+        tell_if_alive(self._packet, AdoptCfg(cfg, bundle))
         _LOG.info(
             'cfg: in force', extra={'revision': cfg.revision, 'era': cfg.era}
         )
@@ -262,7 +262,7 @@
         def report(done):
             failed = done.cancelled() or done.exception() is not None
             reply = None if failed else done.result()
-            tell_ref(ref, FetchEnded(action.name, reply))
+            tell_if_alive(ref, FetchEnded(action.name, reply))
 
         fut.add_done_callback(report)
 
@@ -302,7 +302,7 @@
         except CodedError as exc:
             _LOG.info('cfg: no watch', extra={'code': str(exc.code)})
         lived = time.monotonic() - began
-        tell_ref(self._ref, WatchEnded(self, lived))
+        tell_if_alive(self._ref, WatchEnded(self, lived))
 
     def _read_feed(self):
         self._feed = self._store.watch(ROOT_NAME)
@@ -312,7 +312,7 @@
             root, _ = document.read_root(item.value)
             if root is not None:
                 stamp = Stamp(item.era, root.revision)
-                tell_ref(self._ref, RootSeen(stamp))
+                tell_if_alive(self._ref, RootSeen(stamp))
 
 
 def _read_platform(store, known, ref):
@@ -327,7 +327,7 @@
         # it would never start another one.
         _log_read(getattr(exc, 'code', Code.PLT_DOWN))
         cfg = None
-    tell_ref(ref, ReadEnded(cfg, bundle))
+    tell_if_alive(ref, ReadEnded(cfg, bundle))
 
 
 def _log_read(code):
--- a/cornelgap/entry/instances.py
+++ b/cornelgap/entry/instances.py
@@ -19,7 +19,7 @@
 )
 from cornelgap.entry.packets import InstancesListed
 from cornelgap.kernel.named_actor import NamedActor
-from cornelgap.kernel.names import tell_ref
+from cornelgap.kernel.names import tell_if_alive
 from cornelgap.wire import platform_pb2
 
 INSTANCES = 'instances'
@@ -92,7 +92,7 @@
         """Register and read at once."""
         ref = self.actor_ref
         self._stop_tick = self._loops.call_every(
-            TICK_S, lambda: tell_ref(ref, LookAround())
+            TICK_S, lambda: tell_if_alive(ref, LookAround())
         )
 
     def end(self):
@@ -116,7 +116,7 @@
         ref = self.actor_ref
 
         def call():
-            tell_ref(ref, _CallEnded(name, _make_call(func, arg)))
+            tell_if_alive(ref, _CallEnded(name, _make_call(func, arg)))
 
         self._caller.submit(call)
 
@@ -138,7 +138,7 @@
                 item.name for item in answer if item.leaving
             )
         if self._entries is not None:
-            tell_ref(
+            tell_if_alive(
                 self._packet,
                 InstancesListed(self._entries, self._leaving_targets),
             )
--- a/cornelgap/kernel/names.py
+++ b/cornelgap/kernel/names.py
@@ -52,7 +52,7 @@
     return ref
 
 
-def tell_ref(ref, message):
+def tell_if_alive(ref, message):
     """Send a message to an actor unless it has stopped.
 
     While a process stops, its threads and event loop outlive the actors to
@@ -73,4 +73,4 @@
     :returns: whether the message was put into the actor's inbox.
     """
     ref = find_actor(scope, name)
-    return ref is not None and tell_ref(ref, message)
+    return ref is not None and tell_if_alive(ref, message)
--- a/features/steps/kernel_steps.py
+++ b/features/steps/kernel_steps.py
@@ -177,7 +177,7 @@
 @then('telling the kernel actor "{name}" in "{scope}" says that it is gone')
 def check_tell(context, name, scope):
     assert not names.tell_actor(scope, name, Probe())
-    assert not names.tell_ref(context.part, Probe())
+    assert not names.tell_if_alive(context.part, Probe())
 
 
 @then('the kernel supervisor hears of a crash of "{name}"')
