--- a/cornelgap/entry/cfg_actor.py
+++ b/cornelgap/entry/cfg_actor.py
@@ -134,14 +134,14 @@
             ReadBundle: self._read_bundle,
         }
 
-    def begin(self):
+    def acquire_resources(self):
         """Begin to look and decide at once."""
         ref = self.actor_ref
         self._stop_pulse = self._loops.call_every(
             PULSE_S, lambda: tell_if_alive(ref, Pulse())
         )
 
-    def end(self):
+    def release_resources(self):
         """End the watch and the threads."""
         self._stop_pulse()
         self._close_watch()
--- a/cornelgap/entry/instances.py
+++ b/cornelgap/entry/instances.py
@@ -88,14 +88,14 @@
             _CallEnded: self._note_call,
         }
 
-    def begin(self):
+    def acquire_resources(self):
         """Register and read at once."""
         ref = self.actor_ref
         self._stop_tick = self._loops.call_every(
             TICK_S, lambda: tell_if_alive(ref, LookAround())
         )
 
-    def end(self):
+    def release_resources(self):
         """Take this instance off the list, if the platform is there."""
         self._stop_tick()
         self._caller.submit(_make_call, self._store.deregister, self._encode())
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -169,11 +169,11 @@
     def _create_actor_inbox():
         return SocketInbox(read_clock, TICK_S)
 
-    def begin(self):
+    def acquire_resources(self):
         """List all facts once: nobody can be asked yet."""
         tell_actor(self.scope, FOLLOWER, ListOnce())
 
-    def end(self):
+    def release_resources(self):
         """Close the socket."""
         self._sock.close()
 
--- a/cornelgap/forwarding/follower.py
+++ b/cornelgap/forwarding/follower.py
@@ -91,7 +91,7 @@
             _Turn: self._turn,
         }
 
-    def end(self):
+    def release_resources(self):
         """Close the connection."""
         self._source.close()
 
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -203,7 +203,7 @@
         self._turn_at = now
         return super().on_receive(message)
 
-    def end(self):
+    def release_resources(self):
         """Close the socket."""
         self._sock.close()
 
--- a/cornelgap/kernel/metrics.py
+++ b/cornelgap/kernel/metrics.py
@@ -152,7 +152,7 @@
     """
 
     def __init__(self, scope, address, catalogue, read_samples, read_readiness):
-        """Prepare the server, which is started by :meth:`begin`."""
+        """Prepare the server; it is started by :meth:`acquire_resources`."""
         super().__init__(scope, METRICS)
         self._address = address
         self._http_server = MetricsServer(
@@ -162,14 +162,14 @@
         self._port = 0
         self.handlers = {GetPort: self._get_port}
 
-    def begin(self):
+    def acquire_resources(self):
         """Start the thread and the HTTP server."""
         self._loop_thread.start()
         self._port = self._loop_thread.submit(
             self._http_server.start(self._address)
         ).result(START_TIMEOUT_S)
 
-    def end(self):
+    def release_resources(self):
         """Stop the HTTP server and the thread."""
         self._loop_thread.submit(self._http_server.close()).result(
             START_TIMEOUT_S
--- a/cornelgap/kernel/named_actor.py
+++ b/cornelgap/kernel/named_actor.py
@@ -14,7 +14,8 @@
     """An actor that others find by its name within a scope.
 
     A subclass sets :attr:`handlers`, a dict from message type to the method
-    that handles it, and may override :meth:`begin` and :meth:`end`.
+    that handles it, and may override :meth:`acquire_resources`
+    and :meth:`release_resources`.
     """
 
     def __init__(self, scope, name):
@@ -33,33 +34,33 @@
         """Handle one message by the method for its type."""
         return self.handlers[type(message)](message)
 
-    def begin(self):
+    def acquire_resources(self):
         """Start what this actor owns, in its own thread."""
 
-    def end(self):
+    def release_resources(self):
         """Close what this actor owns, after a stop or a crash."""
 
     def on_start(self):
-        """Call :meth:`begin` and report an exception as a crash.
+        """Call :meth:`acquire_resources` and report an exception as a crash.
 
         pykka calls no hook when the start itself fails, for example because a
         port is in use.  Without the report, the process would continue
         without this actor.
         """
         try:
-            self.begin()
+            self.acquire_resources()
         except Exception as exc:
             report_crash(self.scope, self.name, exc)
             raise
 
     def on_stop(self):
         """Close what this actor owns after a stop."""
-        self.end()
+        self.release_resources()
 
     def on_failure(self, exception_type, exception_value, traceback):
         """Report the crash that ends this actor and close what it owns."""
         report_crash(self.scope, self.name, exception_value)
         try:
-            self.end()
+            self.release_resources()
         except Exception:
             _LOG.exception('supervision: actor cleanup failed')
--- a/cornelgap/platform/keys.py
+++ b/cornelgap/platform/keys.py
@@ -41,11 +41,11 @@
         self._key = None
         self.handlers = {CheckKey: self._check}
 
-    def begin(self):
+    def acquire_resources(self):
         """Learn the key."""
         tell_actor(self.scope, KEYS, CheckKey())
 
-    def end(self):
+    def release_resources(self):
         """Close the connection."""
         self._client.close()
 
--- a/features/steps/kernel_steps.py
+++ b/features/steps/kernel_steps.py
@@ -72,11 +72,11 @@
             Probe: self.answer,
         }
 
-    def begin(self):
+    def acquire_resources(self):
         if self.fails:
             raise OSError('the port is in use')
 
-    def end(self):
+    def release_resources(self):
         self.ended.set()
 
     def break_down(self, message):
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -279,7 +279,7 @@
         lambda: None,
         lambda withdrawn: None,
     )
-    context.cleanups.append(context.actor.end)
+    context.cleanups.append(context.actor.release_resources)
 
 
 @when('the wait becomes {wait_s:d} s')
