--- a/cornelgap/entry/node.py
+++ b/cornelgap/entry/node.py
@@ -34,9 +34,9 @@
 from cornelgap.entry.peer_clients import PeerClients, make_hand_over
 from cornelgap.entry.peer_server import PeerService, start_peer_server
 from cornelgap.kernel.credentials import (
-    list_options,
-    load_channel,
-    load_server,
+    list_channel_options,
+    load_channel_credentials,
+    load_server_credentials,
     open_channel,
 )
 from cornelgap.kernel.loops import LoopThread
@@ -88,7 +88,9 @@
             open_channel(settings.platform, trust.platform, CHANNEL_OPTIONS)
         )
         self._clients = PeerClients(
-            settings.name, load_channel(trust.fleet), list_options(trust.fleet)
+            settings.name,
+            load_channel_credentials(trust.fleet),
+            list_channel_options(trust.fleet),
         )
         self._refs.append(Supervisor.start(settings.name, self._note_crash))
         self._start_peer_server()
@@ -130,7 +132,9 @@
         )
         self._server, port = self._loops.submit(
             start_peer_server(
-                service, self.settings.api, load_server(self.trust.fleet)
+                service,
+                self.settings.api,
+                load_server_credentials(self.trust.fleet),
             )
         ).result(START_S)
         host = self.settings.api.rpartition(':')[0]
@@ -149,8 +153,8 @@
         self._links = TargetLinks.from_settings(
             self._loops,
             self._report_events,
-            load_channel(self.trust.targets),
-            list_options(self.trust.targets),
+            load_channel_credentials(self.trust.targets),
+            list_channel_options(self.trust.targets),
         )
         hand_over = make_hand_over(
             self._loops,
--- a/cornelgap/entry/operations.py
+++ b/cornelgap/entry/operations.py
@@ -19,7 +19,7 @@
 )
 from cornelgap.entry.packets import PACKETS, ReadState
 from cornelgap.entry.views import read_status
-from cornelgap.kernel.credentials import load_server
+from cornelgap.kernel.credentials import load_server_credentials
 from cornelgap.kernel.metrics import MetricsActor
 from cornelgap.kernel.names import (
     ServiceMissing,
@@ -88,7 +88,7 @@
         )
         self._server, port = self._loops.submit(
             start_admin_server(
-                service, settings.admin, load_server(trust.fleet)
+                service, settings.admin, load_server_credentials(trust.fleet)
             )
         ).result(START_S)
         self.admin = f'{settings.admin.rpartition(":")[0]}:{port}'
--- a/cornelgap/kernel/credentials.py
+++ b/cornelgap/kernel/credentials.py
@@ -70,7 +70,7 @@
         return cls(**options)
 
 
-def load_channel(tls):
+def load_channel_credentials(tls):
     """Load the credentials of a client channel.
 
     :param tls: :class:`TlsSettings`.
@@ -86,7 +86,7 @@
     )
 
 
-def load_server(tls):
+def load_server_credentials(tls):
     """Load the credentials of a server that requires client certificates.
 
     :param tls: :class:`TlsSettings`.
@@ -103,7 +103,7 @@
     )
 
 
-def list_options(tls):
+def list_channel_options(tls):
     """List the gRPC channel options that the TLS settings imply.
 
     :param tls: :class:`TlsSettings`.
@@ -121,11 +121,11 @@
     :param options: additional gRPC channel options.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
-    credentials = load_channel(tls)
+    credentials = load_channel_credentials(tls)
     if credentials is None:
         return grpc.insecure_channel(address, options)
     return grpc.secure_channel(
-        address, credentials, (*options, *list_options(tls))
+        address, credentials, (*options, *list_channel_options(tls))
     )
 
 
@@ -138,7 +138,7 @@
     :return: the port number in use.
     :raises CodedError: ``CFG_UNREADABLE``.
     """
-    credentials = load_server(tls)
+    credentials = load_server_credentials(tls)
     if credentials is None:
         return server.add_insecure_port(address)
     return server.add_secure_port(address, credentials)
@@ -146,12 +146,12 @@
 
 def _is_tls_off(tls):
     if tls.mode == OFF:
-        _warn_off()
+        _warn_tls_off()
     return tls.mode == OFF
 
 
 @functools.cache
-def _warn_off():
+def _warn_tls_off():
     """Log the warning once per process instead of once per channel."""
     _log.warning('tls: disabled by settings; peers are not authenticated')
 
--- a/features/steps/cfg_tls_steps.py
+++ b/features/steps/cfg_tls_steps.py
@@ -30,7 +30,7 @@
 def start_server(context, options):
     tls = credentials.TlsSettings.from_options(options)
     server, port, context.state = start_platform(
-        credentials=credentials.load_server(tls)
+        credentials=credentials.load_server_credentials(tls)
     )
     context.cleanups.append(lambda: server.stop(0).wait())
     context.address = f'127.0.0.1:{port}'
@@ -123,7 +123,7 @@
 def check_settings(context, code, place):
     try:
         tls = credentials.TlsSettings.from_options(context.options)
-        credentials.load_channel(tls)
+        credentials.load_channel_credentials(tls)
     except CodedError as exc:
         assert (exc.code, exc.place) == (code, place), exc
     else:
@@ -133,9 +133,9 @@
 @then('TLS that is off gives no credentials and warns once')
 def check_off(context):
     tls = credentials.TlsSettings(credentials.OFF)
-    credentials._warn_off.cache_clear()
+    credentials._warn_tls_off.cache_clear()
     logger = logging.getLogger('cornelgap.tls')
     with mock.patch.object(logger, 'warning') as warning:
-        assert credentials.load_channel(tls) is None
-        assert credentials.load_server(tls) is None
+        assert credentials.load_channel_credentials(tls) is None
+        assert credentials.load_server_credentials(tls) is None
     warning.assert_called_once()
