--- a/cornelgap/entry/packets.py
+++ b/cornelgap/entry/packets.py
@@ -12,7 +12,7 @@
 
 from cornelgap.core import calls
 from cornelgap.entry.handover import HandOver
-from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
+from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
 from cornelgap.kernel.named_actor import NamedActor
 
 PACKETS = 'packets'
@@ -162,7 +162,7 @@
         self.actor_inbox.add_socket(public)
         self.actor_inbox.add_socket(private)
         self.handlers = {
-            Readable: self._read_socket,
+            SocketReadable: self._read_socket,
             Tick: self._tick,
             CallEvents: self._take_events,
             AdoptCfg: self._adopt_cfg,
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -43,7 +43,7 @@
 from cornelgap.forwarding.sockets import drop_waiting, open_socket
 from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.forwarding.zone_standing import ZoneStanding
-from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
+from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
 from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.kernel.names import tell_actor
 
@@ -156,7 +156,7 @@
             LoadSeen: self._take_load,
             ReadNews: self._give_news,
             ReadSnapshot: self._give_snapshot,
-            Readable: self._read,
+            SocketReadable: self._read,
             RoutesKnown: self._take_routes,
             SnapshotFetched: self._take_snapshot,
             TargetsListed: self._take_list,
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -13,7 +13,7 @@
 from cornelgap.forwarding.packets import SYN, Drop, Forward, Reason, Reset
 from cornelgap.forwarding.sockets import drop_waiting
 from cornelgap.forwarding.zone_standing import DropOpenings
-from cornelgap.kernel.inbox import Readable, SocketInbox, Tick
+from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
 from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.kernel.names import tell_actor
 
@@ -184,7 +184,7 @@
             DropOpenings: self._drop_openings,
             OthersEvidence: self._take_evidence,
             OthersLoad: self._take_others,
-            Readable: self._read,
+            SocketReadable: self._read,
             ReadCounts: self._give_counts,
             Tick: self._tick,
             ZoneMembers: self._take_members,
--- a/cornelgap/kernel/inbox.py
+++ b/cornelgap/kernel/inbox.py
@@ -17,7 +17,7 @@
 WAKE_BYTE = b'w'
 
 
-class Readable(Struct, frozen=True):
+class SocketReadable(Struct, frozen=True):
     """Message to the actor: a socket has datagrams to read."""
 
     sock: socket.socket
@@ -51,7 +51,7 @@
         self._selector.register(self._wake_read, selectors.EVENT_READ)
 
     def add_socket(self, sock):
-        """Also deliver :class:`Readable` for a socket."""
+        """Also deliver :class:`SocketReadable` for a socket."""
         self._selector.register(sock, selectors.EVENT_READ)
 
     def put(self, envelope):
@@ -75,7 +75,7 @@
                 self._next_tick = self._clock() + self._tick_s
                 return Envelope(Tick())
             if self._readable:
-                return Envelope(Readable(self._readable.pop()))
+                return Envelope(SocketReadable(self._readable.pop()))
             self._poll_sockets()
             if not self._queue.empty():
                 return self._queue.get()
