--- a/cornelgap/entry/operations.py
+++ b/cornelgap/entry/operations.py
@@ -27,9 +27,9 @@
     tell_actor,
 )
 from cornelgap.kernel.supervision import (
-    PROBE_EVERY_S,
+    PROBE_INTERVAL_S,
     SUPERVISOR,
-    CountCrashes,
+    GetCrashCounts,
     ProbeActors,
     WatchActor,
 )
@@ -110,7 +110,7 @@
             ref = get_actor(scope, name)
             tell_actor(scope, SUPERVISOR, WatchActor(name, ref, probe))
         self._stop_probes = self._loops.call_every(
-            PROBE_EVERY_S,
+            PROBE_INTERVAL_S,
             lambda: tell_actor(scope, SUPERVISOR, ProbeActors()),
         )
 
@@ -131,7 +131,9 @@
 def _read_samples(scope, started):
     read = functools.partial(read_samples, started=started)
     samples = _ask_state(scope, read).get(timeout=ANSWER_S)
-    crashes = get_actor(scope, SUPERVISOR).ask(CountCrashes(), timeout=ANSWER_S)
+    crashes = get_actor(scope, SUPERVISOR).ask(
+        GetCrashCounts(), timeout=ANSWER_S
+    )
     return samples + read_process() + list_crashes(crashes)
 
 
--- a/cornelgap/kernel/supervision.py
+++ b/cornelgap/kernel/supervision.py
@@ -20,7 +20,7 @@
 
 SUPERVISOR = 'supervisor'
 
-PROBE_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 STUCK_TIMEOUT_S = 10.0
 """Seconds without an answer to a probe after which an actor counts as stuck.
 The longest normal message handling, decoding a configuration of the design
@@ -58,7 +58,7 @@
     """Message: probe all watched actors now."""
 
 
-class CountCrashes(Struct, frozen=True):
+class GetCrashCounts(Struct, frozen=True):
     """Message sent by ``ask``: return a dict of crash counts by actor name."""
 
 
@@ -124,7 +124,7 @@
             self._watched[message.name] = watched
         elif isinstance(message, ProbeActors):
             self._probe_actors()
-        elif isinstance(message, CountCrashes):
+        elif isinstance(message, GetCrashCounts):
             return dict(self._crashes)
         return None
 
--- a/features/steps/kernel_steps.py
+++ b/features/steps/kernel_steps.py
@@ -195,7 +195,7 @@
 @then('the kernel supervisor counts {count:d} crash of "{name}"')
 @then('the kernel supervisor counts {count:d} crashes of "{name}"')
 def check_count(context, count, name):
-    crashes = context.supervisor.ask(supervision.CountCrashes())
+    crashes = context.supervisor.ask(supervision.GetCrashCounts())
     assert crashes.get(name, 0) == count, crashes
 
 
