--- a/cornelgap/entry/metric_list.py
+++ b/cornelgap/entry/metric_list.py
@@ -8,7 +8,7 @@
 
 from cornelgap.core.errors import Code
 from cornelgap.core.verdicts import RunState
-from cornelgap.kernel.metrics import COUNTER, GAUGE, OTHER, Metric, Sample
+from cornelgap.kernel.metrics import COUNTER, GAUGE, OTHER_LABEL, Metric, Sample
 
 _PREFIX = 'cornelgap_'
 _CODES = frozenset(str(code) for code in Code)
@@ -234,6 +234,6 @@
         if name.startswith(prefix):
             label = name.removeprefix(prefix)
             return _make_sample(
-                metric, value, label if label in known else OTHER
+                metric, value, label if label in known else OTHER_LABEL
             )
     return _make_sample('events_total', value, name)
--- a/cornelgap/kernel/metrics.py
+++ b/cornelgap/kernel/metrics.py
@@ -24,7 +24,7 @@
 names of a folder with thousands of services, would exhaust the memory of the
 system that collects the metrics."""
 
-OTHER = 'other'
+OTHER_LABEL = 'other'
 MAX_HEADER_BYTES = 8192
 IO_TIMEOUT_S = 5.0
 MAX_CONNS = 16
@@ -101,7 +101,7 @@
             series = values[sample.name]
             labels = sample.labels
             if labels not in series and len(series) >= MAX_SERIES - 1:
-                labels = (OTHER,) * len(labels)
+                labels = (OTHER_LABEL,) * len(labels)
             series[labels] = series.get(labels, 0) + sample.value
         for name, series in values.items():
             self._set_series(name, series)
