--- a/cornelgap/kernel/logs.py
+++ b/cornelgap/kernel/logs.py
@@ -16,7 +16,7 @@
 
 from cornelgap.core.errors import Code, CodedError
 
-ROOT = 'cornelgap'
+ROOT_LOGGER_NAME = 'cornelgap'
 PARTS = (
     'admin',
     'cfg',
@@ -200,7 +200,7 @@
 
 
 def configure_logs(
-    options, instance='', handler=None, now=time.monotonic, limit=None
+    options, instance='', handler=None, now=time.monotonic, volume_filter=None
 ):
     """Send all logs of the process to one handler.
 
@@ -209,7 +209,7 @@
     :param handler: by default a :class:`LineHandler` for standard error.
     :param now: function that returns the time in seconds, for the default
         filter.
-    :param limit: filter that limits the number of lines, by default a
+    :param volume_filter: filter that limits the number of lines, by default a
         :class:`RepeatFilter`.
     :returns: the handler.
     """
@@ -221,16 +221,20 @@
             static_fields={'instance': instance} if instance else None,
         )
     )
-    handler.addFilter(limit or RepeatFilter(now))
+    handler.addFilter(volume_filter or RepeatFilter(now))
     root = logging.getLogger()
     for old in list(root.handlers):
         root.removeHandler(old)
     root.addHandler(handler)
     root.setLevel(logging.WARNING)
-    _set_level(logging.getLogger(ROOT), options.get('level', 'info'))
+    _set_level(
+        logging.getLogger(ROOT_LOGGER_NAME), options.get('level', 'info')
+    )
     for part in PARTS:
         if part in options:
-            _set_level(logging.getLogger(f'{ROOT}.{part}'), options[part])
+            _set_level(
+                logging.getLogger(f'{ROOT_LOGGER_NAME}.{part}'), options[part]
+            )
     return handler
 
 
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -250,7 +250,7 @@
         {},
         settings.name,
         LineHandler(sys.stdout.fileno()),
-        limit=RateFilter(LOG_LINES_PER_S),
+        volume_filter=RateFilter(LOG_LINES_PER_S),
     )
     node = Node.from_settings(settings, sock, path)
     # A handler may interrupt any step of this thread, one that holds a lock
--- a/features/steps/kernel_steps.py
+++ b/features/steps/kernel_steps.py
@@ -213,8 +213,11 @@
     context.stream = io.StringIO()
     context.log_now = 0
     root = logging.getLogger()
-    parts = [logging.getLogger(logs.ROOT)]
-    parts += [logging.getLogger(f'{logs.ROOT}.{part}') for part in logs.PARTS]
+    parts = [logging.getLogger(logs.ROOT_LOGGER_NAME)]
+    parts += [
+        logging.getLogger(f'{logs.ROOT_LOGGER_NAME}.{part}')
+        for part in logs.PARTS
+    ]
     before = [(logger, logger.level) for logger in (root, *parts)]
     handlers = list(root.handlers)
 
