--- a/cornelgap/forwarding/packets.py
+++ b/cornelgap/forwarding/packets.py
@@ -1,7 +1,7 @@
-"""A packet of a forwarded flow, and what may be done with it.
+"""Packets of forwarded flows, and the effects that the engine returns for them.
 
-The engine sees only these types.  How a packet lies on the wire is known
-to the codec that the process was started with.
+The engine works with these types only.  The wire format is known only to
+the codec that the process was started with.
 """
 
 import enum
@@ -15,16 +15,18 @@
 
 
 class Packet(Struct):
-    """One packet that a caller sent.
+    """One decoded packet from a caller.
 
-    :param source: the caller's IPv4 address as a number.
-    :param destination: the route's IPv4 address as a number.
+    :param source: the caller's IPv4 address as an integer.
+    :param destination: the route's IPv4 address as an integer.
     :param flags: sum of :data:`SYN`, :data:`ACK`, :data:`FIN`, :data:`RST`.
-    :param cookie: what the caller last received for this flow; 0 if nothing.
-    :param seq: number of the first byte of data.
-    :param ack: next byte expected; on a SYN the count of copies sent before.
+    :param cookie: identifies the flow's target; the value that the caller
+        last received for this flow, 0 if none.
+    :param seq: sequence number of the first byte of data.
+    :param ack: next sequence number expected; on a SYN, the number of copies
+        of it that the caller sent before.
     :param size: bytes of data.
-    :param raw: the packet as it came.
+    :param raw: the encoded packet as received.
     """
 
     source: int
@@ -50,26 +52,41 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a packet was placed, reset or dropped; a log and metric label."""
+    """Why a packet was forwarded, reset or dropped.
 
+    The values appear in log lines and as labels of the packet counters.
+    """
+
+    # A new flow on its first target, or a repeated SYN on another target.
     PLACED = 'placed'
     MOVED_ON = 'moved_on'
+    # A packet of an open flow.
     KNOWN = 'known'
+    # The route does not exist, no configuration has been loaded yet, or the
+    # route was removed from it.
     NO_ROUTE = 'no_route'
     ROUTES_UNKNOWN = 'routes_unknown'
     ROUTE_DROPPED = 'route_dropped'
+    # No target accepts the new flow; none is in reach, but another zone can
+    # serve it; or cold targets have used up their budget of new flows.
     NO_TARGET = 'no_target'
     WITHDRAWN = 'withdrawn'
     COLD_TARGETS = 'cold_targets'
+    # The service is overloaded; a copy of a SYN is dropped instead of reset
+    # because another instance may have forwarded the first one.
     OVERLOADED = 'overloaded'
     COPY_OVERLOADED = 'copy_overloaded'
+    # The target of an open flow has stopped answering, or has ended.
     TARGET_SILENT = 'target_silent'
     TARGET_GONE = 'target_gone'
+    # The directory, or the SYN itself, may be too old for a decision.
     NOT_FRESH = 'not_fresh'
     STALE_OPEN = 'stale_open'
+    # The cookie names no known target, or two of them, or is missing.
     UNKNOWN_TARGET = 'unknown_target'
     AMBIGUOUS_COOKIE = 'ambiguous_cookie'
     NO_COOKIE = 'no_cookie'
+    # The flags are those of a target's packet, not of a caller's.
     FROM_TARGET = 'from_target'
 
 
@@ -84,9 +101,9 @@
 
 
 class Reset(Struct, frozen=True):
-    """Effect: end the flow towards the caller, at once.
+    """Effect: send the caller a RST, which ends the flow.
 
-    :param seq: sequence number that the caller accepts.
+    :param seq: sequence number of the RST, one that the caller accepts.
     """
 
     seq: int
@@ -94,6 +111,6 @@
 
 
 class Drop(Struct, frozen=True):
-    """Effect: do nothing with the packet."""
+    """Effect: discard the packet without an answer."""
 
     reason: Reason
