--- a/cornelgap/forwarding/stamps.py
+++ b/cornelgap/forwarding/stamps.py
@@ -1,4 +1,4 @@
-"""Where in the store's history facts and configurations stand."""
+"""Order of facts and configurations in the store's history."""
 
 from msgspec import Struct
 
@@ -6,12 +6,13 @@
 
 
 class ConfigStamp(Struct, frozen=True, order=True):
-    """Place of a configuration; later ones compare greater.
+    """Position of a configuration; later ones compare greater.
 
-    The operator's number goes first: a backup may hold the configuration
-    before the one in force, and the operator never gives a number twice.
+    The operator's version number is compared first: a restored backup may
+    hold an older configuration than the one in force, and the operator
+    never uses a version number twice.
 
-    :param version: the operator's number of the configuration.
+    :param version: the operator's version number of the configuration.
     :param era: as in :class:`~cornelgap.core.stamps.Stamp`.
     :param revision: as in :class:`~cornelgap.core.stamps.Stamp`.
     """
@@ -22,7 +23,7 @@
 
 
 UNKNOWN = Stamp(era=-1)
-"""Older than every fact."""
+"""Compares less than the stamp of any fact."""
 
 UNKNOWN_CONFIG = ConfigStamp(version=-1)
-"""Older than every configuration."""
+"""Compares less than the stamp of any configuration."""
