--- a/cornelgap/forwarding/sockets.py
+++ b/cornelgap/forwarding/sockets.py
@@ -1,19 +1,19 @@
-"""Datagram sockets of the forwarding tasks."""
+"""UDP sockets of the forwarding actors."""
 
 import socket
 
-MAX_WAITING = 4096
-"""More datagrams than a receive buffer holds; bounds the loop if they come
-faster than they can be dropped."""
+MAX_DISCARDED = 4096
+"""Most datagrams that one call discards.  It is more than a receive buffer
+holds, and ends the loop if datagrams arrive faster than they are discarded."""
 
 
 def open_socket(address, receive_bytes=None):
-    """Open a datagram socket that never blocks its reader.
+    """Open a non-blocking UDP socket that is bound to an address.
 
     :param address: tuple (host, port).
-    :param receive_bytes: room for datagrams that wait to be read; the
-        system's own default if None.
-    :raises OSError: if the address cannot be had.
+    :param receive_bytes: size of the receive buffer; the system's default
+        if None.
+    :raises OSError: if the address cannot be bound.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     if receive_bytes is not None:
@@ -24,13 +24,13 @@
 
 
 def drop_waiting(sock):
-    """Drop what waits to be read.
+    """Discard the datagrams that wait to be read.
 
-    :returns: the number of datagrams.
+    :returns: the number of discarded datagrams.
     """
-    for count in range(MAX_WAITING):
+    for count in range(MAX_DISCARDED):
         try:
             sock.recv(1)
         except OSError:
             return count
-    return MAX_WAITING
+    return MAX_DISCARDED
