--- a/cornelgap/forwarding/packet_checks.py
+++ b/cornelgap/forwarding/packet_checks.py
@@ -1,27 +1,28 @@
-"""What one packet says beside what is known of its flow; without state."""
+"""Stateless checks of one packet against what is known of its flow."""
 
 from cornelgap.forwarding import packets as pkt
 
 REPEAT_S = 0.15
-"""Time since the first packet was passed on before its repeat says anything.
-Callers repeat after 0.2 s; packets that have waited in our own socket are
-read with their repeats at once, and would speak against every target."""
+"""Least time after a packet was forwarded before a repeat of it counts as
+evidence against the target.  Callers repeat after 0.2 s; packets that have
+waited in this instance's own socket are read together with their repeats,
+and would count against every target."""
 
 
 def is_from_target(packet):
-    """Say whether a SYN comes from a target, or pretends to.
+    """Check whether a SYN has flags that only a target sets.
 
-    Only targets send SYN+ACK, and they send it to callers.  One that
-    reached a target would look as if this instance had forged it.
+    Only targets send SYN+ACK, and they send it to callers.  If one were
+    forwarded to a target, it would look forged by this instance.
     """
     return bool(packet.flags & (pkt.ACK | pkt.RST | pkt.FIN))
 
 
 def was_passed_on(known):
-    """Say whether a SYN of a flow was sent to a target before.
+    """Check whether a SYN of the flow was forwarded to a target before.
 
-    The target may have opened the flow and run its request: a reset that
-    says "not run" would be false.
+    The target may have opened the flow and run its request, so that a reset,
+    which tells the caller that nothing has run, would be wrong.
 
     :param known: the flow as seen here, or None.
     """
@@ -29,10 +30,11 @@
 
 
 def is_early_copy(packet, known, now):
-    """Say whether a copy of a SYN was read just after the one before it.
+    """Check whether a copy of a SYN was read right after the previous one.
 
-    Both have waited in our own socket.  The target has had no time to
-    answer; another one would answer as well, and the flow be open on two.
+    Both have then waited in this instance's own socket, and the target has
+    had no time to answer.  Sent to another target, the copy would open the
+    flow on both.
 
     :param known: the flow as seen here, or None.
     """
@@ -42,7 +44,7 @@
 
 
 def is_repeat(packet, known, now):
-    """Say whether a caller repeats its last data, as nothing came back.
+    """Check whether a caller repeats its last data for lack of an answer.
 
     :param known: the flow as seen here.
     """
@@ -52,12 +54,12 @@
 
 
 def choose_cookie(packet, known):
-    """Return the cookie of the target that holds a packet's flow.
+    """Return the cookie of the target on which a packet's flow is open.
 
-    Two targets may answer two copies of a SYN.  The caller acknowledges the
-    first and carries the cookie of the last, and its data would go to a
-    target that does not know the flow; it is open where the first
-    acknowledgement went.
+    Two targets may answer two copies of a SYN.  The caller then acknowledges
+    the first answer, but sends the cookie of the last one, which belongs to
+    a target that does not know the flow.  The flow is open on the target to
+    which the caller's first acknowledgement was forwarded.
 
     :param known: the flow as seen here, or None.
     """
@@ -67,12 +69,13 @@
 
 
 def order_services(route, packet):
-    """Order a route's services for a new flow, by the route's weights.
+    """Choose a route's service for a new flow by weight; list it first.
 
-    All copies of one SYN get the same order, on any instance: it depends on
-    the flow's addresses alone.  The others follow the chosen one because a
-    zone that is cut off may have no target of it; the operator allows each
-    service of the split for these flows, so one that is in reach is right.
+    All copies of one SYN get the same order on every instance, since it
+    depends on the flow's addresses alone.  The route's other services follow
+    as alternatives: a zone that is cut off may have no target of the chosen
+    one.  The operator allows every service of the split for these flows, so
+    any service with a reachable target is correct.
 
     :returns: list of names, the chosen one first.
     """
