--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -1,9 +1,10 @@
-"""The openings of the last second, and whether a target was in reach.
+"""The openings of the last second, and whether a target was reachable.
 
-An opening is unserved if targets for it take new flows, but all of them lie
-in zones that are away.  Openings that other reasons hold up (old news, no
-route, cold targets, overload) are neither placed nor unserved: instances of
-other zones would do no better.
+An opening is a SYN for a new flow.  It is unserved if there are targets that
+accept it, but all of them are in zones that are away, that is, unreachable
+from this instance.  Openings that fail for other reasons (outdated directory,
+no route, cold targets, overload) count neither as placed nor as unserved:
+instances of other zones could not serve them either.
 """
 
 from collections import Counter, deque
@@ -16,44 +17,46 @@
 
 
 class Openings:
-    """Counts openings; asks a judge which zones are away.
+    """Records openings, and decides which ones to drop.
 
     :param zone: this instance's availability zone.
-    :param judge: :class:`~cornelgap.forwarding.target_judge.TargetJudge`.
+    :param judge: :class:`~cornelgap.forwarding.target_judge.TargetJudge`,
+        which knows the zones that are away.
     """
 
     def __init__(self, zone, judge):
-        """Have seen nothing; drop nothing."""
+        """Start without openings, and drop none."""
         self._zone = zone
         self._judge = judge
-        self._seen = deque()
+        self._recent = deque()
         self._drops_until = float('-inf')
-        self._view = None
-        self._zones = {}
+        self._zones_view = None
+        self._zones_by_route = {}
 
     def note_placed(self, view, route, target, now):
-        """Note that an opening was sent to a target."""
+        """Record that an opening was forwarded to a target."""
         away = self._judge.is_away(target.zone)
         beyond = self.find_beyond(view, route) if away else ()
-        self._seen.append((now, beyond, route))
+        self._recent.append((now, beyond, route))
 
     def note_refused(self, view, route, now):
-        """Note that there was no target for an opening.
+        """Record that there was no target for an opening.
 
-        :returns: whether it is to be dropped: its caller's copies reach an
-            instance of another zone, a reset would use up its tries.
+        :returns: whether to drop it instead of resetting it: the caller's
+            next copies reach an instance of another zone, while resets
+            would use up its attempts.
         """
         beyond = self.find_beyond(view, route)
         if not beyond:
             return False
-        self._seen.append((now, beyond, route))
+        self._recent.append((now, beyond, route))
         return now < self._drops_until
 
     def find_beyond(self, view, route):
-        """Return the other zones that could serve, if none is in reach.
+        """Return the other zones with targets, if no target is reachable.
 
-        :returns: frozenset; empty if a target is in reach, or no other zone
-            has one.
+        :returns: frozenset; empty if a target is reachable, or if no other
+            zone has a target.
         """
         zones = self._list_zones(view, route)
         if not all(map(self._judge.is_away, zones)):
@@ -61,24 +64,24 @@
         return zones - {self._zone}
 
     def drop_until(self, until):
-        """Note until when openings are dropped that cannot be served."""
+        """Set the time until which unserved openings are dropped."""
         self._drops_until = until
 
     def make_opening_report(self, view, loads, now):
         """Return the :class:`OpeningReport` of the last second.
 
         :param loads: :class:`~cornelgap.forwarding.flows.Load` by cookie.
-        :returns: None while all zones are in reach.
+        :returns: None while all zones are reachable.
         """
-        while self._seen and now - self._seen[0][0] > OPENING_WINDOW_S:
-            self._seen.popleft()
+        while self._recent and now - self._recent[0][0] > OPENING_WINDOW_S:
+            self._recent.popleft()
         away = self._judge.list_away()
         if not away:
             return None
-        counts = Counter(bool(beyond) for _, beyond, _ in self._seen)
+        counts = Counter(bool(beyond) for _, beyond, _ in self._recent)
         served = OPENINGS_PER_REQUEST * sum(
             not beyond and self._list_zones(view, route) == {self._zone}
-            for _, beyond, route in self._seen
+            for _, beyond, route in self._recent
         )
         served += sum(
             load.flows
@@ -86,17 +89,17 @@
             if now - load.answered_at < OPENING_WINDOW_S
             and not _is_in_zones(view.find(cookie), away)
         )
-        zones = frozenset().union(*(beyond for _, beyond, _ in self._seen))
+        zones = frozenset().union(*(beyond for _, beyond, _ in self._recent))
         return OpeningReport(counts[False], counts[True], served, zones)
 
     def _list_zones(self, view, route):
-        """Return the zones of all targets that take flows of a route."""
-        if view is not self._view:
-            self._view = view
-            self._zones = {}
-        zones = self._zones.get(route)
+        """Return the zones with targets that accept flows of a route."""
+        if view is not self._zones_view:
+            self._zones_view = view
+            self._zones_by_route = {}
+        zones = self._zones_by_route.get(route)
         if zones is None:
-            zones = self._zones[route] = frozenset(
+            zones = self._zones_by_route[route] = frozenset(
                 target.zone
                 for service, _ in route.shares
                 for target in view.by_service.get(service, ())
