--- a/cornelgap/forwarding/flows.py
+++ b/cornelgap/forwarding/flows.py
@@ -1,10 +1,10 @@
-"""The flows that pass through this instance: what they say of targets.
+"""Table of the flows through this instance, and the targets' load.
 
-Targets answer callers directly, so an instance sees one direction only.
-That is enough to tell how many flows are active on a target, how many wait
-for an answer, and whether a target answers at all: an answer shows in the
-caller's next acknowledgement.  Routing does not depend on this table; it
-may be lost at any time.
+Targets answer callers directly, so an instance sees only the packets from
+callers.  These are enough to count the active flows of a target and those
+that wait for an answer, and to tell whether the target answers at all: an
+answer shows in the caller's next acknowledgement.  Packets of open flows are
+routed by their cookie without this table, so it may be lost at any time.
 """
 
 from collections import OrderedDict
@@ -13,38 +13,42 @@
 from msgspec import Struct
 
 ACTIVE_S = 5.0
-"""A flow that sent nothing for so long counts as idle here.  Callers of
-long flows send about one request a second; a flow whose packets now pass
-through another instance leaves the count after this time."""
+"""Time without a packet after which a flow counts as idle.  Callers of long
+flows send about one request a second; a flow whose packets now pass through
+another instance is no longer counted here after this time."""
 
 KEPT_S = 30.0
-"""Time for which a flow that sends nothing is kept in mind.  Targets close
-idle flows after some seconds, and ports are not used again so soon."""
+"""Time without a packet after which an idle flow is forgotten.  Targets close
+idle flows after some seconds, and callers do not reuse ports so soon."""
 
 MAX_FLOWS = 65536
-"""Flows kept, the least recently seen leave first: about 25 MB at most; and
-as many idle ones, about 15 MB."""
+"""Most active flows kept, and most idle ones; the least recently seen is
+removed first.  The active ones take about 25 MB at most, the idle ones about
+15 MB."""
 
 
 class Flow(Struct):
-    """One flow as seen here.
+    """One flow as seen by this instance.
 
-    :param cookie: target that it is on, or was last placed on.
-    :param tried: cookies of targets that its SYNs were sent to before.
+    :param cookie: target on which the flow is open, or to which its last SYN
+        was forwarded.
+    :param tried: cookies of the targets that got its earlier SYNs.
     :param pinned: whether the caller has acknowledged a target's SYN+ACK.
-    :param sent: next sequence number after the caller's data.
-    :param sent_at: when data were passed on last.
+    :param sent: next sequence number after the caller's last data.
+    :param sent_at: when data were last forwarded.
     :param acked: the caller's last acknowledgement.
-    :param repeats: times that the last data were repeated.
+    :param repeats: number of times that the last data were repeated.
     :param waiting_since: when the unanswered request was sent; 0 if none.
     :param asked_ack: the caller's acknowledgement when it sent its last
         request; None before the first.
-    :param failed: whether its last request was told of as a failure.
+    :param failed: whether its last request has been recorded as failed.
     :param prompt: whether the answer came about as fast as usual; None if
         that is not known.
-    :param answered_at: when the last answer showed in a packet of its own.
-    :param waited_s: seconds from its request until then; None if that is
+    :param answered_at: when an answer was last acknowledged by a packet
+        without data.
+    :param waited_s: seconds from the request to that time; None if that is
         not known.
+    :param closed: whether the flow has ended.
     """
 
     cookie: int
@@ -66,7 +70,7 @@
 
 
 class IdleFlow(Struct, frozen=True):
-    """What is kept of a flow that has sent nothing lately.
+    """What is kept of an open flow without recent packets.
 
     :param acked: the caller's last acknowledgement.
     """
@@ -77,11 +81,11 @@
 
 
 class Load(Struct):
-    """Work on one target as seen by this instance.
+    """Load of one target as seen by this instance.
 
-    :param flows: open flows that were active lately.
-    :param waiting: flows that wait for an answer.
-    :param answered_at: when an answer of the target last showed.
+    :param flows: number of flows that are active on it.
+    :param waiting: number of flows that wait for an answer.
+    :param answered_at: when an answer of the target was last seen.
     """
 
     flows: int = 0
@@ -90,31 +94,34 @@
 
 
 class FlowTable:
-    """Recently seen flows, and the load on targets that follows from them."""
+    """Recently seen flows, and the load of each target computed from them.
+
+    :ivar loads: :class:`Load` by cookie.
+    """
 
     def __init__(self):
-        """Know no flow."""
+        """Start without flows."""
         self._flows = OrderedDict()
         self._idle = OrderedDict()
         self.loads = {}
 
     def __len__(self):
-        """Return the number of flows kept."""
+        """Return the number of active flows in the table."""
         return len(self._flows)
 
     def find(self, key):
-        """Return the flow of a key, or None."""
+        """Return the active flow with a key, or None."""
         return self._flows.get(key)
 
     def get_load(self, cookie):
-        """Return the load of a target; an empty one if nothing is known."""
+        """Return the load of a target; add an empty one if it has none."""
         load = self.loads.get(cookie)
         if load is None:
             load = self.loads[cookie] = Load()
         return load
 
     def count_flows(self):
-        """Return the number of active flows by cookie, without zeros."""
+        """Return the number of active flows by cookie, zeros left out."""
         return {
             cookie: load.flows
             for cookie, load in self.loads.items()
@@ -122,7 +129,7 @@
         }
 
     def list_held(self, cookies):
-        """Return (key, cookie, last acknowledgement) of flows on targets."""
+        """Return (key, cookie, last acknowledgement) of targets' open flows."""
         open_flows = chain(
             (
                 (key, flow)
@@ -138,21 +145,21 @@
         ]
 
     def note_open(self, key, cookie, now):
-        """Note that a SYN was sent to a target."""
+        """Record that a SYN was forwarded to a target."""
         flow = self._flows.get(key)
         if flow is None:
             flow = self._add(key, cookie, now)
             return flow
         if flow.cookie != cookie:
             flow.tried = (*flow.tried, flow.cookie)
-            self._move(flow, cookie)
-        self._touch(key, flow, now)
+            self._move_load(flow, cookie)
+        self._mark_seen(key, flow, now)
         return flow
 
     def note_packet(self, key, packet, cookie, closing, now):
-        """Note a packet on an open flow.
+        """Record a packet of an open flow.
 
-        :param closing: whether it ends the flow.
+        :param closing: whether the packet ends the flow.
         """
         flow = self._flows.get(key)
         if flow is None:
@@ -160,24 +167,24 @@
             flow.acked = packet.ack
             flow.pinned = True
         elif not flow.pinned and flow.cookie != cookie:
-            self._move(flow, cookie)
-        self._note_progress(flow, packet, now)
+            self._move_load(flow, cookie)
+        self._record_progress(flow, packet, now)
         flow.pinned = True
-        self._touch(key, flow, now)
+        self._mark_seen(key, flow, now)
         if closing and not flow.closed:
-            self._leave(flow)
+            self._release_load(flow)
             flow.closed = True
         return flow
 
     def expire(self, now):
-        """Drop flows that were not seen lately; open ones count as idle."""
+        """Remove inactive flows; keep open ones as idle for :data:`KEPT_S`."""
         while self._flows:
             key, flow = next(iter(self._flows.items()))
             if flow.seen_at >= now - ACTIVE_S:
                 break
-            self._drop(key)
+            self._remove(key)
             if flow.pinned and not flow.closed:
-                self._keep_idle(key, flow)
+                self._add_idle(key, flow)
         while self._idle:
             key, idle = next(iter(self._idle.items()))
             if idle.seen_at >= now - KEPT_S:
@@ -185,14 +192,14 @@
             self._idle.pop(key)
 
     def end_target(self, cookie):
-        """Note that a target holds nothing of before any more.
+        """Close all flows of a target that has restarted.
 
-        Its flows ended with its last lifetime; counted on, they would keep
-        new flows away from a target that is idle.
+        Its flows ended with its previous lifetime.  If they were still
+        counted, they would keep new flows away from an idle target.
         """
         for flow in self._flows.values():
             if flow.cookie == cookie and not flow.closed:
-                self._leave(flow)
+                self._release_load(flow)
                 flow.closed = True
         self.loads.pop(cookie, None)
         ended = [
@@ -202,30 +209,30 @@
             self._idle.pop(key)
 
     def keep_loads(self, cookies):
-        """Forget idle targets that are not among these."""
+        """Forget the loads of other targets than these if they have no flow."""
         for cookie in self.loads.keys() - cookies:
             if not self.loads[cookie].flows:
                 self.loads.pop(cookie)
 
     def _add(self, key, cookie, now):
         if len(self._flows) >= MAX_FLOWS:
-            self._drop(next(iter(self._flows)))
+            self._remove(next(iter(self._flows)))
         self._idle.pop(key, None)
         flow = Flow(cookie, now, now)
         self._flows[key] = flow
         self.get_load(cookie).flows += 1
         return flow
 
-    def _keep_idle(self, key, flow):
+    def _add_idle(self, key, flow):
         if len(self._idle) >= MAX_FLOWS:
             self._idle.popitem(last=False)
         self._idle[key] = IdleFlow(flow.cookie, flow.acked, flow.seen_at)
 
-    def _touch(self, key, flow, now):
+    def _mark_seen(self, key, flow, now):
         flow.seen_at = now
         self._flows.move_to_end(key)
 
-    def _note_progress(self, flow, packet, now):
+    def _record_progress(self, flow, packet, now):
         load = self.get_load(flow.cookie)
         if flow.acked != packet.ack or not flow.pinned:
             flow.acked = packet.ack
@@ -249,18 +256,18 @@
             flow.waiting_since = 0
             load.waiting -= 1
 
-    def _move(self, flow, cookie):
+    def _move_load(self, flow, cookie):
         if not flow.closed:
-            self._leave(flow)
+            self._release_load(flow)
             self.get_load(cookie).flows += 1
         flow.cookie = cookie
 
-    def _leave(self, flow):
+    def _release_load(self, flow):
         load = self.get_load(flow.cookie)
         self._end_wait(flow, load)
         load.flows -= 1
 
-    def _drop(self, key):
+    def _remove(self, key):
         flow = self._flows.pop(key)
         if not flow.closed:
-            self._leave(flow)
+            self._release_load(flow)
