--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -1,9 +1,10 @@
-"""What to do with a packet: forward, reset or drop; no socket, no clock.
+"""Decides whether a packet is forwarded, reset or dropped.
 
-A packet of an open flow carries the cookie of its target, so every
-instance routes it alike without having seen the flow.  Only a SYN needs a
-choice.  Where this instance cannot know the right answer it stays silent:
-callers repeat, and the next instance, or this one a moment later, knows.
+The engine has no socket and no clock.  A packet of an open flow carries the
+cookie of its target, so every instance routes it the same way, even if it
+has not seen the flow before.  Only a SYN needs a choice of a target.  Where
+this instance cannot know the right decision it drops the packet: the caller
+repeats it, and by then this instance, or another one that gets it, may know.
 """
 
 from itertools import chain
@@ -32,35 +33,38 @@
 from cornelgap.forwarding.packets import Drop, Forward, Reason, Reset
 from cornelgap.forwarding.target_judge import TargetJudge
 
-FRESH_S = 3.0
-"""Age of the directory up to which an unknown route is taken to be none.
-Operators are promised a change in force within three seconds."""
+MAX_DIRECTORY_AGE_S = 3.0
+"""Greatest age of the directory at which a route or target that it lacks is
+taken not to exist.  Operators are promised that a change is in force within
+three seconds."""
 
-ALIVE_S = 0.5
-"""A target that answered within this time is not reset away from, even if
-its registration is gone: it may be cut off from the store alone."""
+RECENT_ANSWER_S = 0.5
+"""Flows of a target that answered within this time are not reset, even if its
+registration has lapsed: the target may be cut off from the store only."""
 
-NEWS_S = 0.75
-"""Age of what is known of other instances' flows before the first report."""
+INITIAL_REPORT_AGE_S = 0.75
+"""Assumed age of the other instances' flow counts before the first report."""
 
-NEWS_PAUSES = 1.5
-"""The same in pauses between two reports: a flow waits half a pause for its
-instance's report and half a pause for the hub's, twice that at most."""
+REPORT_AGE_INTERVALS = 1.5
+"""The same age as a multiple of the report interval: a flow waits half an
+interval for its instance's report and half an interval for the report of the
+zone's hub, and twice that at most."""
 
 MOVING_COPY = 2
-"""Copy of a SYN that opens on another target.  Where two targets answer, the
-caller may carry the cookie of the one that it did not choose; an instance
-that has not seen the opening then sends its data there, and the flow is
-reset.  An answer that is 0.2 s late is common on links that are full; one
-that is 0.6 s late is not."""
+"""Number of the copy from which on a SYN is forwarded to another target.  If
+two targets answer, the caller may send the cookie of the one whose answer it
+did not accept; an instance that has not seen the SYN then forwards the data
+to that target, and the flow is reset.  An answer that is 0.2 s late, which
+causes the first copy, is common on congested links; one that is 0.6 s late,
+which causes the second, is not."""
 
-OPEN_SHARE = 0.3
-"""Weight of the last second in the rate of new flows."""
+OPEN_RATE_WEIGHT = 0.3
+"""Weight of the last second in the moving average of new flows a second."""
 
-DISTRUST_S = 1.0
-"""Longest time without new flows after a standstill.  A store or peer that
-is in reach confirms within milliseconds; an instance that is cut off has to
-serve its zone on what it knows."""
+MAX_DISTRUST_S = 1.0
+"""Longest time without new flows after a stall of the process.  A reachable
+store or peer confirms the directory within milliseconds; an instance that is
+cut off has to serve its zone with what it knows."""
 
 
 _NO_WARMUP = Warmup()
@@ -76,7 +80,7 @@
     """
 
     def __init__(self, zone, rng, cold_starts=None):
-        """Start without routes and targets: every packet is dropped."""
+        """Start without routes and targets, so that no flow is forwarded."""
         self._cold_starts = cold_starts or ColdStarts('')
         self._zone = zone
         self._rng = rng
@@ -84,27 +88,29 @@
         self.fresh_until = float('-inf')
         self._distrusted_at = float('-inf')
         self.flows = FlowTable()
-        self._others = {}
+        self._remote_flows = {}
         self._instances = 1
-        self._news_s = NEWS_S
-        self._opens = Average(OPEN_SHARE)
-        self._opens_second = 0
-        self._opens_count = 0
-        self._just_gone = set()
+        self._report_age_s = INITIAL_REPORT_AGE_S
+        self._open_rate = Average(OPEN_RATE_WEIGHT)
+        self._current_second = 0
+        self._opens_this_second = 0
+        self._newly_gone = set()
         self.judge = TargetJudge()
         self.openings = Openings(zone, self.judge)
         self.admission = AdmissionControl(rng)
-        self._evidence = FlowEvidence(self.flows, self.judge, self._note_size)
+        self._evidence = FlowEvidence(
+            self.flows, self.judge, self._record_answer_size
+        )
 
     def adopt_view(self, view):
-        """Use another picture of the directory from the next packet on."""
+        """Use a newer view of the directory from the next packet on."""
         for cookie in list_reborn(self.view, view):
             self.judge.forget(cookie)
             self.flows.end_target(cookie)
-            self._others.pop(cookie, None)
+            self._remote_flows.pop(cookie, None)
         if view.routes is not self.view.routes:
             self.admission.adopt_routes(view.routes)
-        self._just_gone |= view.gone.keys() - self.view.gone.keys()
+        self._newly_gone |= view.gone.keys() - self.view.gone.keys()
         self.view = view
         self.judge.keep(view.by_cookie.keys())
         self._cold_starts.keep(view.by_cookie.keys())
@@ -112,21 +118,22 @@
         self.flows.keep_loads(view.by_cookie.keys())
 
     def note_fresh(self, as_of):
-        """Note when the directory was last known to be the newest."""
-        self.fresh_until = max(self.fresh_until, as_of + FRESH_S)
+        """Record a time at which the directory was known to be current."""
+        self.fresh_until = max(self.fresh_until, as_of + MAX_DIRECTORY_AGE_S)
         if as_of >= self._distrusted_at:
             self._distrusted_at = float('-inf')
 
     def reset_lost(self, now):
-        """Return tuples (flow key, its :class:`Reset`) that are due now.
+        """Return tuples (flow key, :class:`Reset`) of flows just lost.
 
-        The flows of a target that has just fallen silent or ended are lost.
-        Callers that wait would learn it with their next repeat, after up to
-        0.8 s; those that do not would send their next request to nobody,
-        and one that must not run twice is lost for them with that.
+        The flows of a target that has just stopped answering or ended are
+        lost.  A caller that waits for an answer would learn of it with its
+        next repeat, after up to 0.8 s.  An idle caller would send its next
+        request to a dead target; a request that must not run twice would
+        then be lost, since it cannot be sent again.
         """
         silent = self.judge.find_fresh_silent(self.flows.loads, now)
-        gone, self._just_gone = self._just_gone, set()
+        gone, self._newly_gone = self._newly_gone, set()
         lost = {cookie: Reason.TARGET_SILENT for cookie in silent}
         lost.update(
             (cookie, Reason.TARGET_GONE)
@@ -141,43 +148,48 @@
         ]
 
     def name_silent(self):
-        """Return the names of targets that were given up last, in order."""
+        """Return the names of the targets found silent last, sorted."""
         return self._name_targets(self.judge.silent)
 
     def name_outliers(self, now):
-        """Return the names of targets that fail more than their peers."""
+        """Return the names of targets that fail more than their peers do."""
         return self._name_targets(self.judge.list_outliers(now))
 
     def read_age(self, now):
-        """Return the age of the directory in seconds, for logs."""
-        return round(now - self.fresh_until + FRESH_S, 3)
+        """Return the age of the directory in seconds, rounded for logs."""
+        return round(now - self.fresh_until + MAX_DIRECTORY_AGE_S, 3)
 
     def note_others(self, loads, instances, pause_s, rank=0):
-        """Note the flows on targets that other instances see.
+        """Adopt what the other instances of the zone have reported.
 
-        :param loads: flows by cookie.
-        :param instances: instances of this zone, this one included.
+        :param loads: number of their flows by cookie.
+        :param instances: number of instances of the zone, this one included.
         :param pause_s: seconds between two reports.
         :param rank: how many of these instances precede this one.
         """
-        self._others = loads
+        self._remote_flows = loads
         self._instances = instances
-        self._news_s = pause_s * NEWS_PAUSES
+        self._report_age_s = pause_s * REPORT_AGE_INTERVALS
         self.judge.set_instances(instances, rank)
 
     def set_cold_limit(self, limit):
-        """Bound what cold targets get otherwise from now on."""
+        """Replace the limit on new flows to cold targets.
+
+        :param limit: :class:`~cornelgap.decisions.cold_starts.ColdLimit`, or
+            None.
+        """
         self._cold_starts.set_limit(limit)
 
     def note_members(self, names):
-        """Note the names of this zone's instances; empty if not known."""
+        """Set the names of this zone's instances; empty if not known."""
         self._cold_starts.set_members(names)
 
     def note_evidence(self, instance, evidence, now):
-        """Note what flows through another instance say of targets.
+        """Record another instance's evidence on whether targets answer.
 
         :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
-        :returns: the same of targets that have repeats there and answers
+        :returns: :class:`~cornelgap.forwarding.target_judge.Evidence` for
+            that instance, of targets that have repeats there but answer
             here.
         """
         return self.judge.note_evidence(
@@ -185,7 +197,7 @@
         )
 
     def note_zone_outcomes(self, outcomes, now):
-        """Note how requests through all instances of the zone have ended.
+        """Record how requests through all instances of the zone ended.
 
         :param outcomes: by cookie,
             :class:`~cornelgap.decisions.target_outliers.Outcomes`.
@@ -193,14 +205,17 @@
         self.judge.note_zone_outcomes(self.view.by_service, outcomes, now)
 
     def note_overdue(self, now):
-        """Note the requests that have waited too long as failures."""
+        """Record requests that have waited too long as failed."""
         self._evidence.note_overdue(now)
 
     def distrust(self, now):
-        """Place no flow until the directory is confirmed after this time.
+        """Place no new flow until the directory is confirmed anew.
 
-        A process that stood still wakes with old beliefs: a target may have
-        begun to drain, a route may be dropped.  Open flows go on.
+        After a stall of the process its directory may be outdated: a target
+        may be draining, a route may have been removed.  Packets of open
+        flows are still forwarded.
+
+        :param now: only a confirmation as of this time or later counts.
         """
         self._distrusted_at = now
         self.judge.clear()
@@ -208,14 +223,15 @@
         self._evidence.clear()
 
     def handle(self, packet, now, late=False):
-        """Decide on one packet.
+        """Decide what to do with one packet.
 
-        :param late: whether the packet may have lain in the socket for long.
+        :param late: whether the packet may have waited in the socket for
+            long.
         :returns: :class:`Forward`, :class:`Reset` or :class:`Drop`.
         """
         self.judge.note_packet(now)
         if not packet.flags & pkt.SYN:
-            return self._carry_on(packet, now)
+            return self._handle_open_flow(packet, now)
         if is_from_target(packet):
             return Drop(Reason.FROM_TARGET)
         if late or self._is_distrusted(now):
@@ -226,7 +242,7 @@
 
     @property
     def answers(self):
-        """Return counts of the times that answers took."""
+        """Return the histogram of answer times."""
         return self._evidence.answers
 
     def make_opening_report(self, now):
@@ -236,19 +252,19 @@
         )
 
     def step_admission(self, now):
-        """Change what is admitted by what was seen.
+        """Adapt the admitted shares to the answers seen since the last step.
 
-        :returns: what is to be told of services, :class:`dict` of fields.
+        :returns: list of changes to log, a :class:`dict` of fields each.
         """
-        told = self.admission.step(now)
+        changes = self.admission.step(now)
         self.judge.overloaded = self.admission.limited
-        return told
+        return changes
 
     def expire(self, now):
-        """Forget flows that were not seen lately."""
+        """Forget flows without recent packets."""
         self.flows.expire(now)
 
-    def _note_size(self, key, flow, size):
+    def _record_answer_size(self, key, flow, size):
         target = self.view.by_cookie.get(flow.cookie)
         if target is not None:
             self.admission.note_answer(
@@ -256,14 +272,14 @@
             )
 
     def _is_answering(self, cookie, now):
-        return now - self.flows.get_load(cookie).answered_at < ALIVE_S
+        return now - self.flows.get_load(cookie).answered_at < RECENT_ANSWER_S
 
     def _name_targets(self, cookies):
         found = map(self.view.by_cookie.get, cookies)
         return sorted(target.name for target in found if target is not None)
 
     def _is_distrusted(self, now):
-        return now - self._distrusted_at < DISTRUST_S
+        return now - self._distrusted_at < MAX_DISTRUST_S
 
     def _open_flow(self, packet, now):
         route = self.view.routes.get(
@@ -280,31 +296,31 @@
             if refusal is not None:
                 return refusal
         early = is_early_copy(packet, known, now)
-        tried = () if early else self._note_copy(packet, known, now)
+        tried = () if early else self._record_copy(packet, known, now)
         if early or (tried and packet.ack < MOVING_COPY):
             target = self.view.by_cookie.get(known.cookie)
-            if self._may_open_on(target, early, now):
-                return self._open_on(target, Reason.PLACED, now)
-        target = self._place(route, packet, tried, now)
+            if self._may_repeat_on(target, early, now):
+                return self._forward_opening(target, Reason.PLACED, now)
+        target = self._choose_target(route, packet, tried, now)
         if target is None:
             return self._refuse_opening(route, packet, now)
         if not packet.ack:
             self.openings.note_placed(self.view, route, target, now)
         self.flows.note_open(packet.flow, target.cookie, now)
         reason = Reason.MOVED_ON if tried else Reason.PLACED
-        return self._open_on(target, reason, now)
+        return self._forward_opening(target, reason, now)
 
-    def _open_on(self, target, reason, now):
+    def _forward_opening(self, target, reason, now):
         if self.view.is_cold(target, now):
             self._cold_starts.note_open(target.cookie, now)
         return Forward(target, reason)
 
     def _refuse_opening(self, route, packet, now):
-        """Answer an opening for which there is no target.
+        """Decide on an opening for which there is no target.
 
-        Cold targets have room again within a second, and the caller repeats
-        its SYN in that time.  That a zone is drained is known however old
-        the news is.
+        If there are cold targets, the opening is dropped: they have room
+        again within a second, and the caller repeats its SYN in that time.
+        A drained zone is known as such even if the directory is outdated.
         """
         services = [service for service, _ in route.shares]
         listed = (self.view.by_service.get(name, ()) for name in services)
@@ -317,11 +333,12 @@
             return Drop(Reason.WITHDRAWN)
         return Reset(packet.ack, Reason.NO_TARGET)
 
-    def _may_open_on(self, target, early, now):
-        """Say whether a copy may go to the target that got the first SYN.
+    def _may_repeat_on(self, target, early, now):
+        """Check whether a copy may go to the target that got the last SYN.
 
-        A probe of a zone that is away moves on with its first copy; its
-        caller would otherwise wait 0.6 s instead of 0.2 s.
+        If that SYN was a probe of an unreachable zone, its first copy
+        already goes to another target; the caller would otherwise wait 0.6 s
+        instead of 0.2 s.
 
         :param target: None if it is not in the directory.
         :param early: whether the target has had no time to answer.
@@ -337,7 +354,7 @@
         return not self.judge.is_avoided(target.cookie, now)
 
     def _has_room(self, target, now):
-        """Say whether a target is warm, or may get one more flow if cold."""
+        """Check whether a target is warm, or may get a flow though cold."""
         if not self.view.is_cold(target, now):
             return True
         warmup = self.view.warmups.get(target.service, _NO_WARMUP)
@@ -345,15 +362,15 @@
             return self._cold_starts.may_open(target.cookie, warmup.per_s, now)
         return not self._cold_starts.limited
 
-    def _note_copy(self, packet, known, now):
-        """Return the cookies of targets that did not answer this SYN."""
+    def _record_copy(self, packet, known, now):
+        """Record a copy of a SYN; return the cookies that did not answer."""
         if known is None or known.pinned or not packet.ack:
             return ()
         target = self.view.by_cookie.get(known.cookie)
         self._evidence.note_copy(packet, known, target, packet.ack > 1, now)
         return (*known.tried, known.cookie)
 
-    def _place(self, route, packet, tried, now):
+    def _choose_target(self, route, packet, tried, now):
         first, *others = order_services(route, packet)
         avoided = self.judge.choose_avoided_zones(now)
         chosen = self._list_targets(first, now)
@@ -365,18 +382,21 @@
         )
         targets = select_pool(pools, self._list_last(first, chosen, avoided))
         # A target that did not answer two copies is full or unreachable; the
-        # next one opens elsewhere while its caller still waits.
+        # next copy goes to another target while the caller still waits.
         untried = [item for item in targets if item.cookie not in tried]
         candidates = [
-            self._weigh(target, now) for target in (untried or targets)
+            self._make_candidate(target, now) for target in (untried or targets)
         ]
-        return choose_target(candidates, self._estimate_poured(now), self._rng)
+        return choose_target(
+            candidates, self._estimate_unreported_flows(now), self._rng
+        )
 
     def _list_last(self, service, targets, avoided):
-        """Return the targets to take where none is trusted.
+        """Return the targets to choose from if none is trusted.
 
-        Where an operator has drained the zones in reach, what is left lies
-        beyond a cut.  The caller is better told at once than left waiting.
+        If an operator has drained the reachable zones, the remaining targets
+        are unreachable.  They are left out, so that the caller is refused at
+        once instead of waiting for them.
         """
         if service not in self.view.drained_services:
             return targets
@@ -401,32 +421,34 @@
             and not self.judge.is_avoided(target.cookie, now)
         ]
 
-    def _estimate_poured(self, now):
-        """Return the flows that the zone opens before others' next news.
+    def _estimate_unreported_flows(self, now):
+        """Estimate the zone's new flows that are not in any count yet.
 
-        Own flows are known at once; other instances open as many as this
-        one, since routers spread flows evenly over a zone.
+        They are this new flow, and those that the other instances have
+        opened since their reports; this instance knows its own at once.
+        Routers spread flows evenly over a zone's instances, so each of the
+        others opens as many as this one.
         """
         second = int(now)
-        if second != self._opens_second:
-            self._opens.add(self._opens_count)
-            self._opens_second = second
-            self._opens_count = 0
-        self._opens_count += 1
-        rate = self._opens.read(0)
-        return 1 + rate * (self._instances - 1) * self._news_s
-
-    def _weigh(self, target, now):
+        if second != self._current_second:
+            self._open_rate.add(self._opens_this_second)
+            self._current_second = second
+            self._opens_this_second = 0
+        self._opens_this_second += 1
+        rate = self._open_rate.read(0)
+        return 1 + rate * (self._instances - 1) * self._report_age_s
+
+    def _make_candidate(self, target, now):
         load = self.flows.get_load(target.cookie)
         return Candidate(
             target,
-            load.flows + self._others.get(target.cookie, 0),
+            load.flows + self._remote_flows.get(target.cookie, 0),
             load.waiting,
             same_zone=target.zone == self._zone,
             cold=self.view.is_cold(target, now),
         )
 
-    def _carry_on(self, packet, now):
+    def _handle_open_flow(self, packet, now):
         known = self.flows.find(packet.flow)
         cookie = choose_cookie(packet, known)
         if not cookie:
@@ -436,15 +458,15 @@
             return Reset(packet.ack, Reason.ROUTE_DROPPED)
         target = self.view.by_cookie.get(cookie)
         if target is None:
-            return self._refuse(packet, cookie, now)
+            return self._handle_missing_target(packet, cookie, now)
         self._evidence.note_packet(packet, cookie, target, now)
         if self.judge.is_given_up(cookie, now):
-            # Waiting would cost the caller its whole deadline; after a
+            # A caller that went on waiting would miss its deadline; after a
             # reset it opens a flow on a target that answers.
             return Reset(packet.ack, Reason.TARGET_SILENT)
         return Forward(target, Reason.KNOWN)
 
-    def _refuse(self, packet, cookie, now):
+    def _handle_missing_target(self, packet, cookie, now):
         if cookie in self.view.by_cookie:
             return Drop(Reason.AMBIGUOUS_COOKIE)
         if not is_gone(self.view, cookie):
@@ -453,8 +475,8 @@
             return Drop(Reason.TARGET_GONE)
         target = self.view.gone.get(cookie)
         if target is not None and self._is_answering(cookie, now):
-            # It answers, so only its registration is lost: a target that is
-            # cut off from the store alone still serves its flows.
+            # The target answers, so only its registration has lapsed: one
+            # that is cut off from the store still serves its open flows.
             self._evidence.note_packet(packet, cookie, None, now)
             return Forward(target, Reason.KNOWN)
         return Reset(packet.ack, Reason.TARGET_GONE)
