--- a/cornelgap/forwarding/lost_writes.py
+++ b/cornelgap/forwarding/lost_writes.py
@@ -1,60 +1,63 @@
 """Writes that the store may have lost when it was restored from a backup.
 
-The backup is some seconds old: it can show a target as ready that has said it
-drains, list one that has gone, or lack an order to drain a zone.  Targets
-and operators write such things again.  What was known before stays in force
-where it keeps new flows away, until the store has been heard after the time
-that they need for it.
+The backup is some seconds old: it can list a draining target as ready, list a
+target that has gone, or lack an order to drain a zone.  Targets and operators
+repeat such writes.  Until they have had time to do so, restrictions that were
+known before the restore stay in force: new flows avoid these targets and
+zones until data has been read from the store that is newer than that time.
 """
 
 REWRITE_S = 5.0
-"""Time in which the store's last writes are repeated.  Targets write again
-within about two seconds of its return, and the registration of one that has
-ended lapses after three heartbeats (3.6 s)."""
+"""Time within which lost writes are repeated.  Targets write again within
+about two seconds of the store's return, and the registration of a target that
+has ended expires after three heartbeats (3.6 s)."""
 
 
 class LostWrites:
-    """Closed targets and zones as known before the last restore.
+    """Targets and zones that took no new flows before the last restore.
 
     Time is an argument, in seconds of the process clock.
 
-    :ivar zones: zones that were drained before the restore and whose orders
-        have not been seen since.
+    :ivar zones: zones that were drained before the restore and whose drain
+        orders the store has not listed since.
     """
 
     def __init__(self):
-        """Remember nothing."""
+        """Start empty, as if there had been no restore."""
         self.zones = frozenset()
         self._targets = {}
         self._until = float('-inf')
 
     def note_targets(self, targets, now):
-        """Remember which targets took no new flows before a restore."""
+        """Record the targets that took no new flows before a restore."""
         self._targets = {target.name: target.born for target in targets}
         self._until = now + REWRITE_S
 
     def note_zones(self, zones, now):
-        """Remember which zones were drained before a restore."""
+        """Record the zones that were drained before a restore."""
         self.zones = frozenset(zones)
         self._until = now + REWRITE_S
 
     def release_target(self, name):
-        """Forget a target that has written since."""
+        """Remove a target that has written to the store since."""
         self._targets.pop(name, None)
 
     def release_zones(self, zones):
-        """Forget zones whose orders are there again."""
+        """Remove zones whose drain orders the store lists again."""
         self.zones -= frozenset(zones)
 
     def is_closed(self, target):
-        """Say whether a target took no new flows in this lifetime of it."""
+        """Say whether a target took no new flows before the restore.
+
+        A target that has restarted since then is not closed.
+        """
         return self._targets.get(target.name) == target.born
 
     def end(self, as_of):
-        """Forget all, if what is known is as of late enough.
+        """Drop all records once the repeated writes must have been read.
 
-        :param as_of: time at which what is known was the newest.
-        :returns: whether anything was forgotten.
+        :param as_of: time at which the known facts were up to date.
+        :returns: whether any record was dropped.
         """
         if as_of < self._until or not (self._targets or self.zones):
             return False
