--- a/cornelgap/forwarding/fetcher.py
+++ b/cornelgap/forwarding/fetcher.py
@@ -1,7 +1,7 @@
-"""Fetching all facts from another instance, and giving them to others.
+"""Transfer of directory snapshots between instances, over TCP.
 
-A beat says that there is something newer but is too small to hold it.  The
-fetch runs in an actor of its own, since it waits for the other side.
+A beat announces newer facts but is too small to carry all of them.  Fetching
+blocks on the other instance, so it runs in an actor of its own.
 """
 
 import logging
@@ -19,16 +19,17 @@
 
 FETCHER = 'fetcher'
 FETCH_S = 1.0
-"""Longest fetch, seconds; a snapshot takes milliseconds."""
+"""Timeout of a fetch, seconds; a snapshot takes milliseconds."""
 
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 _LOG = logging.getLogger('cornelgap.directory')
 
 
 class Fetch(Struct, frozen=True):
-    """Message: fetch all facts from a host.
+    """Message: fetch a snapshot from a host.
 
-    :param key: None if this instance has not learnt it yet.
+    :param key: key that authenticates messages between instances; None if
+        this instance does not have it yet.
     """
 
     host: str
@@ -36,10 +37,11 @@
 
 
 class SnapshotFetched(Struct, frozen=True):
-    """Message: what another instance knows.
+    """Message: a snapshot of the directory of another instance.
 
-    :param sent_at: when it was asked; its ages count from here, so that
-        the time on the way makes facts look older, never younger.
+    :param sent_at: when the request was sent.  The snapshot's ages count
+        from this time, so that network delay makes facts look older, never
+        younger.
     """
 
     host: str
@@ -50,22 +52,23 @@
 class Fetcher(NamedActor):
     """Fetches one snapshot at a time.
 
-    :param receiver: name of the service that gets them.
+    :param receiver: name of the actor that gets the snapshots.
     """
 
     use_daemon_thread = True
 
     def __init__(self, scope, port, receiver):
-        """Wait for :class:`Fetch`."""
+        """Do nothing until a :class:`Fetch` message comes."""
         super().__init__(scope, FETCHER)
         self._port = port
         self._receiver = receiver
         self.handlers = {Fetch: self._fetch}
 
     def _fetch(self, message):
-        now = read_clock()
+        sent_at = read_clock()
         if not self.actor_inbox.empty():
-            # Beats that came during the last fetch asked for the same.
+            # Beats that came during the last fetch have queued more
+            # requests; only the last one is served.
             return
         try:
             raw = receive_all((message.host, self._port))
@@ -76,14 +79,15 @@
                 extra={'host': message.host, 'error': repr(exc)},
             )
             return
-        found = SnapshotFetched(message.host, snapshot, now)
-        tell_actor(self.scope, self._receiver, found)
+        fetched = SnapshotFetched(message.host, snapshot, sent_at)
+        tell_actor(self.scope, self._receiver, fetched)
 
 
 def make_server(address, read_snapshot):
-    """Make a server that gives a snapshot to whoever connects.
+    """Create a server that sends a snapshot on each connection.
 
-    :param read_snapshot: function that gives bytes, empty if there are none.
+    :param read_snapshot: function that returns the snapshot's bytes, empty
+        if there is none.
     """
 
     class Handler(socketserver.BaseRequestHandler):
@@ -93,26 +97,28 @@
                 self.request.sendall(read_snapshot())
             except OSError as exc:
                 _LOG.info(
-                    'directory: snapshot not taken', extra={'error': repr(exc)}
+                    'directory: sending a snapshot failed',
+                    extra={'error': repr(exc)},
                 )
 
     return make_tcp_server(address, Handler)
 
 
 def receive_all(address):
-    """Receive all that a server gives.
+    """Receive all bytes until the server closes the connection.
 
-    :raises OSError: if that takes longer than a fetch may.
+    :raises OSError: if this takes longer than :data:`FETCH_S`, or the
+        connection fails.
     """
-    ends_at = read_clock() + FETCH_S
+    deadline = read_clock() + FETCH_S
     chunks = []
     with socket.create_connection(address, FETCH_S) as sock:
         while True:
-            left = ends_at - read_clock()
-            if left <= 0:
-                raise TimeoutError('the snapshot takes too long')
-            sock.settimeout(left)
-            chunk = sock.recv(_CHUNK)
+            remaining_s = deadline - read_clock()
+            if remaining_s <= 0:
+                raise TimeoutError('snapshot not received within the timeout')
+            sock.settimeout(remaining_s)
+            chunk = sock.recv(_CHUNK_BYTES)
             if not chunk:
                 return b''.join(chunks)
             chunks.append(chunk)
