--- a/cornelgap/forwarding/beats.py
+++ b/cornelgap/forwarding/beats.py
@@ -1,4 +1,4 @@
-"""Sends an instance's beats, with what it knows and how old that is."""
+"""Sending of beats, with the versions and ages of the known facts."""
 
 from collections import Counter
 
@@ -6,21 +6,22 @@
 
 
 class BeatSender:
-    """Makes beats of the present state and sends them.
+    """Builds beats from the current state and sends them by UDP.
 
     :param own: this instance, :class:`~cornelgap.forwarding.neighbours.Self`.
     :param boot: random number of the process's lifetime.
     :param directory: :class:`~cornelgap.forwarding.directory.Directory`.
     :param neighbours: :class:`~cornelgap.forwarding.neighbours.Neighbours`.
     :param sock: socket to send from.
-    :param port: port of all instances for each other.
-    :ivar key: the key under which instances talk; None until it is known,
-        and nothing is sent so long.
-    :ivar counts: beats that could not be sent, by reason.
+    :param port: UDP port on which every instance receives beats.
+    :ivar key: key that authenticates messages between instances; None until
+        the store or another instance has provided it, and nothing is sent
+        while it is None.
+    :ivar counts: datagrams that could not be sent, by error number.
     """
 
     def __init__(self, own, boot, directory, neighbours, sock, port):
-        """Send nothing before the key is known."""
+        """Start without a key, so that nothing is sent yet."""
         self._own = own
         self._boot = boot
         self._directory = directory
@@ -31,9 +32,10 @@
         self.counts = Counter()
 
     def send(self, hosts, zone, following, now, **parts):
-        """Send one beat to some hosts.
+        """Send the same beat to each of some hosts.
 
-        :param zone: zone of the hosts; another one's get the members too.
+        :param zone: zone of the hosts; a beat to another zone than the own
+            includes the list of members.
         :param following: whether this instance follows the store.
         :param parts: further fields of
             :class:`~cornelgap.forwarding.peer_messages.Beat`.
@@ -47,7 +49,7 @@
             try:
                 self._sock.sendto(raw, (host, self._port))
             except OSError as exc:
-                # Nobody can be reached there now; the next beat tries again.
+                # The host cannot be reached now; the next beat tries again.
                 self.counts[f'unsent_{exc.errno}'] += 1
 
     def _make_beat(self, zone, now, parts):
@@ -80,5 +82,5 @@
 
 
 def _round_age(age):
-    # Rounded up: an age that is told too low would make old facts fresh.
+    # Rounded up: a reported age that is too low makes stale facts look fresh.
     return round(age + 0.0005, 3)
