--- a/cornelgap/forwarding/follower.py
+++ b/cornelgap/forwarding/follower.py
@@ -1,9 +1,10 @@
 """The actor that follows the store.
 
 It owns the connection and blocks on it, so it does nothing else.  It lists
-once, then waits for changes, and tells the directory what it heard and as
-of when.  A connection that has gone silent, a history that is gone and a
-store that refuses all end in a new list.
+all facts once, then watches for changes, and sends the directory what it
+received and the time as of which that holds.  After a connection that went
+silent, a change history that the store no longer has, or a refusal by the
+store, it lists all facts again.
 """
 
 import logging
@@ -17,20 +18,21 @@
 from cornelgap.kernel.names import tell_actor
 
 RETRY_S = 0.3
-"""Pause after a failed call; with jitter of half of it either way, so that
-instances do not come back to a restarted store in one moment."""
+"""Pause after a first failed call.  Jitter of up to half of it either way
+keeps instances from calling a restarted store all at once."""
 
 LONGEST_RETRY_S = 1.0
-"""Bound of the pause, which doubles with each failure in a row.  A store that
-turns some machines away for seconds gets a call a second of each, and the
-first call after its return comes within the bounds of a change."""
+"""Upper limit of the pause, which doubles with each failure in a row.  Each
+instance that the store refuses for seconds calls it once a second, and the
+first call after the store's return comes early enough for a change to take
+effect within its time limit."""
 
 GATHER_S = 0.25
-"""Pause after an answer that told changes.  While targets are replaced or
-started, their registrations change many times a second, and each change
-would be a call of its own for each follower.
-The next wait is shorter by the pause, so what is known grows no older than
-without it."""
+"""Pause after an answer with changes, to collect several changes per call.
+While targets are replaced or started, their registrations change many times a
+second, and each change would cost each follower a call of its own.  The next
+watch is shorter by the pause, so the known facts grow no older than without
+it."""
 
 FOLLOWER = 'follower'
 _FAILED = (CodedError, AttributeError, LookupError, TypeError, ValueError)
@@ -38,40 +40,41 @@
 
 
 class Follow(Struct, frozen=True):
-    """Message: begin or stop to follow."""
+    """Message: start or stop following the store."""
 
     active: bool
 
 
 class ListOnce(Struct, frozen=True):
-    """Message: list all facts, as often as it takes to succeed once."""
+    """Message: list all facts, with retries until a list has succeeded."""
 
 
 class AdoptWait(Struct, frozen=True):
-    """Message: wait this long for a change from the next watch on, seconds."""
+    """Message: set the longest wait of a watch, from the next watch on."""
 
     wait_s: float
 
 
-class _Turn(Struct, frozen=True):
-    """Message to itself: make the next call."""
+class _CallSource(Struct, frozen=True):
+    """Message of the actor to itself: make the next call to the source."""
 
 
 class Follower(NamedActor):
-    """Follows one source.
-
-    :param source: offers ``list_facts()`` and ``watch_facts(wait_s)``, both
-        giving messages for the directory one by one, and ``close()``.
-    :param receiver: name of the service that is told.
-    :param wait_s: longest wait for a change.  An answered wait is the only
-        proof that the connection still hears the store.
-    :param pause: function that sleeps for some seconds.
+    """Lists and watches the facts of one source.
+
+    :param source: has the methods ``list_facts()`` and
+        ``watch_facts(wait_s)``, which both return messages for the directory,
+        and ``close()``.
+    :param receiver: name of the actor that gets these messages.
+    :param wait_s: longest wait for a change, in seconds.  Only the answer to
+        a watch proves that the connection to the store still works.
+    :param pause: function that sleeps for a number of seconds.
     """
 
     use_daemon_thread = True
 
     def __init__(self, scope, source, receiver, wait_s, rng, pause):
-        """Wait for :class:`Follow`."""
+        """Make no call until :class:`Follow` or :class:`ListOnce` comes."""
         super().__init__(scope, FOLLOWER)
         self._source = source
         self._receiver = receiver
@@ -79,16 +82,16 @@
         self._rng = rng
         self._pause = pause
         self._active = False
-        self._wanted = False
-        self._turning = False
+        self._list_requested = False
+        self._call_queued = False
         self._listed = False
-        self._gathering = False
+        self._collecting = False
         self._failures = 0
         self.handlers = {
             AdoptWait: self._adopt_wait,
             Follow: self._follow,
-            ListOnce: self._want_list,
-            _Turn: self._turn,
+            ListOnce: self._request_list,
+            _CallSource: self._handle_call,
         }
 
     def release_resources(self):
@@ -99,56 +102,56 @@
         if self._active and not message.active:
             self._source.close()
         self._active = message.active
-        self._begin()
+        self._queue_call()
 
     def _adopt_wait(self, message):
         self._wait_s = message.wait_s
 
-    def _want_list(self, _message):
-        self._wanted = True
-        self._begin()
+    def _request_list(self, _message):
+        self._list_requested = True
+        self._queue_call()
 
-    def _begin(self):
-        if not self._turning and (self._active or self._wanted):
-            self._turning = True
-            self.actor_ref.tell(_Turn())
+    def _queue_call(self):
+        if not self._call_queued and (self._active or self._list_requested):
+            self._call_queued = True
+            self.actor_ref.tell(_CallSource())
 
-    def _turn(self, _message):
-        self._turning = False
-        if not self._active and not self._wanted:
+    def _handle_call(self, _message):
+        self._call_queued = False
+        if not self._active and not self._list_requested:
             return
         try:
             self._call()
         except _FAILED as exc:
-            # An answer that is not what it should be must not end the task:
-            # all instances would get it, and end together.
-            self._note_failure(exc)
+            # A malformed answer must not end this actor: all instances
+            # would get the same answer, and all would stop following.
+            self._record_failure(exc)
             self._pause(compute_pause(self._failures, self._rng))
-        self._begin()
+        self._queue_call()
 
     def _call(self):
         if self._listed:
-            found = self._watch()
+            messages = self._watch()
         else:
-            found = self._source.list_facts()
-        for fact in found:
-            tell_actor(self.scope, self._receiver, fact)
+            messages = self._source.list_facts()
+        for message in messages:
+            tell_actor(self.scope, self._receiver, message)
         self._listed = True
-        self._wanted = False
+        self._list_requested = False
         if self._failures:
             self._failures = 0
             _LOG.info('follower: store is back')
 
     def _watch(self):
         wait_s = self._wait_s
-        if self._gathering:
+        if self._collecting:
             self._pause(GATHER_S)
             wait_s -= GATHER_S
-        found = self._source.watch_facts(wait_s)
-        self._gathering = any(has_changes(fact) for fact in found)
-        return found
+        messages = self._source.watch_facts(wait_s)
+        self._collecting = any(has_changes(message) for message in messages)
+        return messages
 
-    def _note_failure(self, exc):
+    def _record_failure(self, exc):
         self._listed = False
         self._failures += 1
         if self._failures == 1:
@@ -161,13 +164,13 @@
             )
 
 
-def has_changes(fact):
-    """Say whether a message tells changes of targets."""
-    return isinstance(fact, TargetsChanged) and bool(fact.changes)
+def has_changes(message):
+    """Say whether a message contains changes of targets."""
+    return isinstance(message, TargetsChanged) and bool(message.changes)
 
 
 def compute_pause(failures, rng):
-    """Return the pause before the next call, seconds.
+    """Return the pause before the next call, in seconds.
 
     :param failures: failed calls in a row, at least 1.
     """
