--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -1,9 +1,10 @@
-"""The other instances as this one knows them: who is there, who is a hub.
+"""Membership of the instances, and the choice of the hubs of each zone.
 
-The first two instances of a zone, by rendezvous rank, are its hubs: the
-others send their beats to them and hear from them.  So the number of
-datagrams grows with the instances, not with their square.  Nothing here
-sends or receives; time is an argument, in seconds.
+The first two instances of a zone are its hubs: the others exchange beats with
+the hubs only, so the number of datagrams grows linearly with the instances,
+not with their square.  Instances are ranked by link capacity, and by
+rendezvous hashing among equals.  Nothing here sends or receives; time is an
+argument, in seconds.
 """
 
 from msgspec import Struct, field
@@ -12,65 +13,77 @@
 from cornelgap.decisions.target_outliers import Outcomes
 
 HUBS = 2
-"""Hubs a zone: one may die, and the zone still hears of a change."""
+"""Hubs per zone: if one dies, the zone still hears of changes."""
 
 SILENT_S = 1.3
-"""Silence after which a hub is passed over.  Hubs send twice a second, so
-this takes two lost datagrams in a row."""
+"""Silence after which an instance is no longer chosen as a hub.  Hubs send
+twice a second, so two datagrams in a row must be lost."""
 
 MENTION_S = 3.0
-"""An instance heard within this time is told of to others."""
+"""Time since its last beat within which an instance is listed to others."""
 
 FORGET_S = 4.0
+"""Time after which an instance that no beat came from or listed is removed."""
+
 LOAD_S = 3.0
-"""Age at which an instance's report of load is worth nothing: its callers
-have moved on to another one."""
+"""Age from which an instance's load report is ignored: its callers have
+moved to another instance by then."""
 
 FAR_LOAD_S = 60.0
-"""Age up to which the sum of another zone counts.  Its long flows stay while
-it is cut off, and old news of them is closer than none: taken to be empty, a
-zone that is back gets all new flows of the others in its first second, and
-the next cut breaks them."""
+"""Age up to which the load sum of another zone counts.  The zone keeps its
+long flows while it is cut off, so an old sum is a better estimate than none.
+If the zone were taken to be empty, it would get all new flows of the other
+zones in the first second after its return, and the next cut would break
+them."""
 
 HELLO_S = 0.4
-"""Seconds between two questions while nobody is known, and just after the
-start, when most others start as well and know few."""
+"""Seconds between two beats that ask for an answer (hellos) while no other
+instance of the zone is known, and just after the start, when most others also
+start and know few instances."""
 
 SETTLE_S = 3.0
-"""Time after the start in which questions come that often."""
+"""Time after the start in which hellos come every :data:`HELLO_S`."""
 
 SEED_S = 1.0
-"""Seconds between two snapshots that are fetched from a seed while the key is
-unknown; as often as a follower hears the store."""
+"""Seconds between two fetches of a snapshot from a seed while the key is
+unknown; as often as a follower gets an answer from the store."""
 
 REPAIR_S = 5.0
-"""Seconds between two questions otherwise; they join groups of instances
-that have not heard of each other."""
+"""Seconds between two hellos otherwise.  They join groups of instances that
+do not know each other."""
 
 RECENT_S = 60.0
-"""Time for which an instance counts among those that may open flows on cold
-targets.  An instance that is cut off must go on counting the others for as
-long as they count it, or it would take all of their parts too."""
+"""Time for which an instance counts among those that share the flows that may
+be opened on cold targets.  An instance that is cut off must keep counting the
+others for as long as they count it, or it would take their shares as well."""
 
 CROWD = 8
+"""Instances of a zone above which load reports come half as often, and
+placement spreads its flows instead."""
+
 CROWD_LOAD_S = 1.0
+"""Seconds between two load reports in zones larger than :data:`CROWD`."""
+
 LOAD_BEAT_S = 0.5
-"""Seconds between two reports of load; in zones of more instances than a
-crowd they come half as often, and placement spreads its flows instead."""
+"""Seconds between two load reports in other zones."""
 
 FAR_S = 1.0
-"""Seconds between two beats to hubs of other zones; these bytes cost."""
+"""Seconds between two beats to hubs of other zones; traffic between zones is
+billed."""
 
 
 class Member(Struct):
-    """Another instance.
-
-    :param capacity: how much its link carries, as a power of two.
-    :param direct_at: when it was last heard itself; None if never.
-    :param known_at: when it was last heard or told of.
-    :param loads: flows by cookie that it has reported last.
-    :param zone_loads: the sums that it has told last as a hub.
-    :param expected_since: since when it should be a hub, None if it need not.
+    """State of another instance.
+
+    :param capacity: capacity of its link: the bit length of the number of
+        Mbit/s, 0 if that is unknown.
+    :param direct_at: when its last beat came; None if none has come.
+    :param known_at: when a beat last came from it or listed it.
+    :param expected_since: since when its rank makes it a hub; None if its
+        rank does not.
+    :param beat: its last beat.
+    :param loads: its last load report, flows by cookie.
+    :param zone_loads: its last report as a hub, sums of flows by cookie.
     """
 
     name: str
@@ -88,7 +101,10 @@
 
 
 class Self(Struct, frozen=True):
-    """Who this instance is to others."""
+    """Identity of this instance.
+
+    :param capacity: capacity of its link, as in :class:`Member`.
+    """
 
     name: str
     zone: str
@@ -97,14 +113,14 @@
 
 
 class Neighbours:
-    """All instances that this one has heard of.
+    """All other instances that this one knows.
 
     :param own: this instance, :class:`Self`.
-    :param seeds: hosts of a few instances, perhaps stale.
+    :param seeds: hosts of a few instances from the settings, perhaps outdated.
     """
 
     def __init__(self, own, seeds, rng):
-        """Know the seeds' addresses only."""
+        """Start with the addresses of the seeds only."""
         self.name = own.name
         self.zone = own.zone
         self.host = own.host
@@ -116,23 +132,25 @@
         self._hubs = [own.name]
         self._suspects = set()
         self._far_loads = {}
-        self._began_at = None
-        self._hello_at = float('-inf')
-        self._seed_at = float('-inf')
+        self._started_at = None
+        self._hello_chosen_at = float('-inf')
+        self._seed_chosen_at = float('-inf')
         self._far_at = float('-inf')
 
     def set_seeds(self, seeds):
-        """Ask other hosts from now on; who is known already stays so."""
+        """Replace the seeds; instances that are known already are kept."""
         self._seeds = [seed for seed in seeds if seed != self.host]
 
     def note_beat(self, beat, now):
-        """Take in a beat."""
+        """Update the membership and the load reports from a beat."""
         if beat.name == self.name:
             return
         if beat.leaving:
             self._members.pop(beat.name, None)
             return
-        member = self._add(beat.name, beat.zone, beat.host, beat.capacity, now)
+        member = self._add_member(
+            beat.name, beat.zone, beat.host, beat.capacity, now
+        )
         member.direct_at = now
         member.capacity = beat.capacity
         member.beat = beat
@@ -143,22 +161,22 @@
             member.zone_loads = beat.zone_loads
             member.zone_loads_at = now
             if beat.zone != self.zone:
-                # Kept by zone: the hub that told it may be forgotten.
+                # Kept by zone: the hub that sent it may be removed.
                 self._far_loads[beat.zone] = (now, beat.zone_loads)
         for name, zone, host, capacity in beat.members:
             if name != self.name:
-                member = self._add(name, zone, host, capacity, now)
-                if not _is_heard(member, now):
+                member = self._add_member(name, zone, host, capacity, now)
+                if not _is_recently_heard(member, now):
                     member.capacity = capacity
 
     def expire(self, now):
-        """Forget who was not heard of for long, and choose the hubs."""
-        late = [
+        """Remove instances not heard of for :data:`FORGET_S`; choose hubs."""
+        expired = [
             name
             for name, member in self._members.items()
             if now - member.known_at > FORGET_S
         ]
-        for name in late:
+        for name in expired:
             self._members.pop(name)
         self._recent = {
             name: known_at
@@ -174,29 +192,32 @@
 
     @property
     def is_first_hub(self):
-        """Say whether this instance is the hub that sums up loads."""
+        """Say whether this instance is the hub that sums the zone's loads."""
         return self._hubs[0] == self.name
 
     def list_recent(self, now):
         """Return the names of this zone's instances of the last minute.
 
-        :returns: frozenset, empty shortly after the start: few others are
-            known then.
+        :returns: frozenset with this instance; empty for :data:`SETTLE_S`
+            after the start, when few others are known.
         """
-        if self._began_at is None or now - self._began_at < SETTLE_S:
+        if self._started_at is None or now - self._started_at < SETTLE_S:
             return frozenset()
         return frozenset((self.name, *self._recent))
 
     def compute_rank(self):
-        """Return how many instances of the zone precede this one."""
+        """Return how many higher-ranked instances of the zone may be alive."""
         ranked = self._rank()
         before = ranked[: ranked.index(self.name)]
         return sum(name not in self._suspects for name in before)
 
     def find_follower(self, now, is_fresh):
-        """Say whether one of lower rank follows the store with success.
+        """Say whether a higher-ranked instance follows the store.
+
+        Only instances whose facts are fresh count.
 
-        :param is_fresh: function of an age in seconds.
+        :param is_fresh: function that says whether facts of an age in seconds
+            are fresh.
         """
         ranked = self._rank()
         for name in ranked[: ranked.index(self.name)]:
@@ -212,7 +233,7 @@
     def list_near_hosts(self):
         """Return the hosts of this zone that get the regular beat."""
         if self.is_hub:
-            return [member.host for member in self._list_zone()]
+            return [member.host for member in self._list_zone_members()]
         return [
             self._members[name].host
             for name in self._hubs
@@ -220,17 +241,17 @@
         ]
 
     def list_load_hosts(self):
-        """Return the hosts that are told of this instance's load."""
+        """Return the hosts that get this instance's load reports."""
         if self.is_first_hub:
             return []
         return [self._members[self._hubs[0]].host]
 
     def list_all_near(self):
         """Return the hosts of all other instances of this zone."""
-        return [member.host for member in self._list_zone()]
+        return [member.host for member in self._list_zone_members()]
 
     def list_far_hosts(self, now):
-        """Return hosts of hubs of other zones if they are due a beat."""
+        """Return hosts of hubs of other zones if a beat to them is due."""
         if not self.is_first_hub or now - self._far_at < FAR_S:
             return []
         self._far_at = now
@@ -245,41 +266,50 @@
         return hosts
 
     def choose_hello(self, now):
-        """Return a host to ask who is there if a question is due."""
-        if self._began_at is None:
-            self._began_at = now
-        alone = not self._list_zone()
-        settling = now - self._began_at < SETTLE_S
+        """Return a host to send a hello to, or None if no hello is due.
+
+        The answer to a hello lists the instances that the host knows.
+        """
+        if self._started_at is None:
+            self._started_at = now
+        alone = not self._list_zone_members()
+        settling = now - self._started_at < SETTLE_S
         pause = HELLO_S if alone or settling else REPAIR_S
-        if now - self._hello_at < pause:
+        if now - self._hello_chosen_at < pause:
             return None
         known = [member.host for member in self._members.values()]
         hosts = self._seeds if alone else (self._seeds + known)
         if not hosts:
             return None
-        self._hello_at = now
+        self._hello_chosen_at = now
         return self._rng.choice(hosts)
 
     def choose_seed(self, now):
-        """Return the next seed to learn from without a key, if one is due.
+        """Return the next seed to fetch a snapshot from, if a fetch is due.
+
+        Used while the key is unknown.
 
         :returns: a host, or None.
         """
-        if not self._seeds or now - self._seed_at < SEED_S:
+        if not self._seeds or now - self._seed_chosen_at < SEED_S:
             return None
-        self._seed_at = now
+        self._seed_chosen_at = now
         self._seeds.append(self._seeds.pop(0))
         return self._seeds[-1]
 
     def list_members(self, now, zone):
-        """Return [name, zone, host, capacity] of those to tell a zone of."""
-        told = [[self.name, self.zone, self.host, self.capacity]]
+        """Return lists [name, zone, host, capacity] to send to a zone.
+
+        These are this instance, the zone's instances and the hubs of other
+        zones, as far as a beat of theirs came lately.
+        """
+        members = [[self.name, self.zone, self.host, self.capacity]]
         for member in self._members.values():
-            if not _is_heard(member, now):
+            if not _is_recently_heard(member, now):
                 continue
             is_hub = member.beat is not None and member.beat.hub
             if member.zone == zone or is_hub:
-                told.append(
+                members.append(
                     [
                         member.name,
                         member.zone,
@@ -287,26 +317,29 @@
                         member.capacity,
                     ]
                 )
-        return told
+        return members
 
     def sum_zone_loads(self, own, now):
-        """Return flows by cookie of the whole zone."""
+        """Return flows by cookie of the whole zone.
+
+        :param own: flows by cookie of this instance.
+        """
         total = dict(own)
-        for member in self._list_zone():
+        for member in self._list_zone_members():
             if now - member.loads_at < LOAD_S:
                 add_loads(total, member.loads)
         return total
 
     def sum_far_loads(self, now):
-        """Return flows by cookie of all other zones, as last told."""
+        """Return flows by cookie of all other zones, as last reported."""
         total = {}
-        for told_at, loads in self._far_loads.values():
-            if now - told_at < FAR_LOAD_S:
+        for received_at, loads in self._far_loads.values():
+            if now - received_at < FAR_LOAD_S:
                 add_loads(total, loads)
         return total
 
     def sum_others(self, own, now):
-        """Return flows by cookie that other instances have.
+        """Return flows by cookie of all other instances.
 
         :param own: flows by cookie that this instance reported last.
         """
@@ -314,29 +347,29 @@
             total = self.sum_zone_loads({}, now)
             add_loads(total, self.sum_far_loads(now))
             return total
-        told = [
+        hubs = [
             self._members[name]
             for name in self._hubs
             if name in self._members
             and now - self._members[name].zone_loads_at < LOAD_S
         ]
-        if not told:
+        if not hubs:
             return {}
-        total = dict(max(told, key=_get_sum_time).zone_loads)
+        total = dict(max(hubs, key=_get_zone_loads_time).zone_loads)
         for cookie, flows in own.items():
             if cookie in total:
                 total[cookie] = max(0, total[cookie] - flows)
         return total
 
     def choose_load_pause(self):
-        """Return the seconds between two reports of load."""
+        """Return the seconds between two load reports."""
         return LOAD_BEAT_S if self.count_zone() <= CROWD else CROWD_LOAD_S
 
     def count_zone(self):
         """Return the number of instances of this zone, this one included."""
-        return 1 + len(self._list_zone())
+        return 1 + len(self._list_zone_members())
 
-    def _add(self, name, zone, host, capacity, now):
+    def _add_member(self, name, zone, host, capacity, now):
         member = self._members.get(name)
         if member is None or member.host != host:
             member = Member(name, zone, host, capacity, now)
@@ -346,7 +379,7 @@
             self._recent[name] = now
         return member
 
-    def _list_zone(self):
+    def _list_zone_members(self):
         return [
             member
             for member in self._members.values()
@@ -355,7 +388,7 @@
 
     def _rank(self):
         capacities = {
-            member.name: member.capacity for member in self._list_zone()
+            member.name: member.capacity for member in self._list_zone_members()
         }
         capacities[self.name] = self.capacity
         return rank_names(self.zone, capacities.keys(), capacities)
@@ -386,16 +419,16 @@
         return hubs or [members[0].host]
 
 
-def _is_heard(member, now):
-    """Say whether a member was heard itself so lately that others are told."""
+def _is_recently_heard(member, now):
+    """Say whether a beat of a member came within :data:`MENTION_S`."""
     return member.direct_at is not None and now - member.direct_at <= MENTION_S
 
 
 def _may_be_hub(member, now):
-    """Say whether a member that should be a hub may be alive.
+    """Say whether a member whose rank makes it a hub may be alive.
 
-    Only hubs are heard by everybody, so silence counts from the moment at
-    which the member was first expected to be one.
+    Only a hub is expected to send to all instances of the zone.  So silence
+    counts from the time when the rank of the member first made it a hub.
     """
     if member.expected_since is None:
         member.expected_since = now
@@ -403,7 +436,7 @@
     return now - heard_at < SILENT_S
 
 
-def _get_sum_time(member):
+def _get_zone_loads_time(member):
     return member.zone_loads_at
 
 
@@ -415,8 +448,8 @@
 
 def add_outcomes(total, outcomes):
     """Add outcomes by cookie to a total."""
-    for cookie, found in outcomes.items():
+    for cookie, counts in outcomes.items():
         known = total.get(cookie)
         if known is None:
             known = total[cookie] = Outcomes()
-        known.add(found)
+        known.add(counts)
