--- a/cornelgap/forwarding/peer_messages.py
+++ b/cornelgap/forwarding/peer_messages.py
@@ -1,9 +1,10 @@
-"""What instances tell each other, and its form on the wire.
+"""Messages between instances: beats (heartbeats) and snapshots.
 
-One kind of datagram, the beat: who is there, how fresh its facts are, what
-has just changed, and how many flows it has seen on each target.  A beat
-begins with a version and a keyed hash.  A receiver ignores fields that it
-does not know, so that versions can run side by side during an upgrade.
+A beat is a datagram.  It carries the identity of its sender, the age of the
+sender's facts, the latest changes and the number of flows on each target.  A
+snapshot carries all facts, over TCP.  Both begin with a version and a keyed
+hash.  Receivers ignore unknown fields, so that instances of different versions
+can run side by side during an upgrade.
 """
 
 import hmac
@@ -30,65 +31,71 @@
 VERSION = 1
 TAG_BYTES = 16
 MAX_BYTES = 60000
-"""A datagram's limit, less room for headers."""
+"""Largest datagram that is read; leaves room for headers."""
 
-PACK_BYTES = 1200
-"""Bodies of beats above this are compressed, so that they fit into fewer
-network packets; the loads of thousands of targets fit into no datagram
-otherwise."""
+COMPRESS_ABOVE_BYTES = 1200
+"""Size above which the body of a beat is compressed, so that it fits into
+fewer network packets.  Uncompressed, the loads of thousands of targets do not
+fit into any datagram."""
 
-PACK_MARK = b'\x78'
-"""First byte of a compressed body; one in plain JSON begins with a brace."""
+COMPRESSED_MARK = b'\x78'
+"""First byte of a compressed body; a body in plain JSON starts with a brace."""
 
-UNPACKED_BYTES = 1024 * 1024
-"""Longest unpacked body of a beat, ten times that of 4,600 targets.  A
-longer one would take memory that callers' packets need."""
+MAX_BODY_BYTES = 1024 * 1024
+"""Largest body of a beat after decompression, ten times the size for 4,600
+targets.  A larger one would take memory that is needed for callers' packets."""
 
-PACKED_BYTES = 64 * 1024 * 1024
-"""Longest unpacked snapshot, far above one of 4,600 targets."""
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
+"""Largest snapshot after decompression, far above one of 4,600 targets."""
 
 
 class Beat(Struct):
-    """A sign of life with news.
+    """A heartbeat with the sender's state and the latest changes.
 
     :param boot: random number of the process's lifetime.
-    :param capacity: how much the sender's link carries, a power of two.
-    :param hello: whether the sender wants a beat back at once.
-    :param hub: whether it tells the others of its zone.
+    :param capacity: capacity of the sender's link, as in
+        :class:`~cornelgap.forwarding.neighbours.Member`.
+    :param hello: whether the receiver is to answer with a beat at once.
+    :param hub: whether the sender is a hub of its zone.
     :param following: whether it follows the store.
-    :param routes_version: the operator's number of its configuration.
-    :param routes_era: the store's era in which that was written.
-    :param routes_revision: the store's revision of it.
-    :param routes_age: seconds since that was known to be the newest; None
-        if it knows none.
-    :param targets_era: the store's era as of which it knows all targets.
-    :param targets_revision: store revision up to which it knows them.
-    :param targets_changed: revision of the last change of a target.
-    :param drained_zones: names of the zones that operators drain.
-    :param drained_era: the store's era as of which these are all.
-    :param drained_revision: store revision as of which these are all; 0 if
-        the sender does not tell.
-    :param since: with ``changes``: revision that these follow on.
-    :param changes: what :func:`dump_change` gives.
-    :param loads: flows by cookie that the sender has seen.
-    :param zone_loads: within a zone: flows by cookie of all instances
-        everywhere; to another zone: those of the sender's zone.
-    :param repeats: lists [cookie, flow number, whether again] of callers
-        that repeated on open flows.
-    :param copies: the same of callers that repeated an opening.
-    :param answers: cookies of targets that answer nevertheless.
+    :param leaving: whether it is about to end.
+    :param routes_version: the operator's version number of its configuration.
+    :param routes_era: the store's era in which the configuration was written.
+    :param routes_revision: the store's revision of the configuration.
+    :param routes_age: seconds since the configuration was known to be the
+        newest; None if the sender has none.
+    :param targets_era: the store's era of ``targets_revision``.
+    :param targets_revision: store revision as of which it knows all targets.
+    :param targets_changed: store revision of the last change of a target.
+    :param targets_age: seconds since its targets were known to be up to date;
+        None if it knows none.
+    :param drained_zones: names of the zones that operators have drained.
+    :param drained_era: the store's era of ``drained_revision``.
+    :param drained_revision: store revision as of which ``drained_zones`` is
+        complete; 0 if the sender does not state it.
+    :param since: store revision that ``changes`` follow on.
+    :param changes: changes of targets, as :func:`dump_change` writes them.
+    :param loads: flows through the sender, by cookie.
+    :param zone_loads: within a zone, flows by cookie through all instances of
+        all zones; to another zone, those through the sender's zone.
+    :param repeats: lists [cookie, flow number, 1 if repeated before] of
+        packets that callers repeated on open flows.
+    :param copies: the same for repeated packets that open a flow.
+    :param answers: cookies of targets that answer in spite of repeats, or whose
+        zone is reachable again.
     :param answer_ages: ages of these answers in milliseconds.
-    :param outcomes: how requests through the sender have ended since its
-        last beat, by cookie.
+    :param outcomes: results of requests through the sender since its last
+        beat, by cookie.
     :param zone_outcomes: the same through all instances of the zone.
-    :param openings: what the sender has seen in the last second while zones
-        are away: [placed, unserved, served], as in
+    :param openings: flow openings at the sender within the last second, sent
+        while zones are unreachable: [placed, unserved, served], as in
         :class:`~cornelgap.decisions.withdrawal.OpeningReport`.
-    :param withdrawal: whether the zone is out of rotation: [0 or 1, ages of
-        the last change and of its last confirmation in milliseconds].
-    :param beyond: names of the zones beyond a cut, of whichever of both.
-    :param members: lists [name, zone, host, capacity] of instances heard
-        lately.
+    :param withdrawal: whether the zone is withdrawn: [0 or 1, ages in
+        milliseconds of the last change and of the last confirmation].
+    :param beyond: names of the unreachable zones that ``openings`` or
+        ``withdrawal`` refers to.
+    :param members: lists [name, zone, host, capacity] of instances whose
+        beats came lately.
     """
 
     name: str
@@ -128,29 +135,30 @@
 
     @property
     def routes_stamp(self):
-        """Place of the sender's configuration in the store's history."""
+        """Stamp of the sender's configuration."""
         return ConfigStamp(
             self.routes_version, self.routes_era, self.routes_revision
         )
 
     @property
     def targets_stamp(self):
-        """Place in the store's history as of which it knows all targets."""
+        """Stamp as of which the sender knows all targets."""
         return Stamp(self.targets_era, self.targets_revision)
 
     @property
     def drained_stamp(self):
-        """Place as of which it knows all zones that are drained."""
+        """Stamp as of which the sender knows all drained zones."""
         return Stamp(self.drained_era, self.drained_revision)
 
 
-_ORDER = tuple(item.name for item in fields(Beat))
-_KNOWN = frozenset(_ORDER)
-_EMPTY = (None, [], {})
-"""Values that a beat leaves out, as its defaults say the same."""
+_FIELD_NAMES = tuple(item.name for item in fields(Beat))
+_FIELD_NAME_SET = frozenset(_FIELD_NAMES)
+_OMITTED_VALUES = (None, [], {})
+"""Values that are left out of an encoded beat, since the defaults stand for
+them."""
 
-_NO_NUMBERS = (AttributeError, ArithmeticError, TypeError, ValueError)
-_MALFORMED = (
+_CONVERSION_ERRORS = (AttributeError, ArithmeticError, TypeError, ValueError)
+_DECODE_ERRORS = (
     zlib.error,
     ArithmeticError,
     AttributeError,
@@ -159,10 +167,11 @@
     ValueError,
 )
 STANDING_LIMIT = 2**32
-"""Bound of what is told of a zone's standing, counts and milliseconds.  An
-age below zero would keep a verdict from ever lapsing."""
+"""Exclusive upper limit of the numbers in ``openings`` and ``withdrawal``,
+counts and milliseconds.  They must not be negative either: a decision with a
+negative age would never expire."""
 
-_NUMBERS = (
+_INTEGER_FIELDS = (
     'boot',
     'capacity',
     'routes_version',
@@ -178,32 +187,32 @@
 
 
 def encode_beat(beat, key):
-    """Encode a beat under a key of 16 to 64 bytes."""
+    """Encode a beat, authenticated with a key of 16 to 64 bytes."""
     content = {
         name: getattr(beat, name)
-        for name in _ORDER
-        if getattr(beat, name) not in _EMPTY
+        for name in _FIELD_NAMES
+        if getattr(beat, name) not in _OMITTED_VALUES
     }
     # The only structs in a beat are outcomes; they become lists of counts.
     body = json.dumps(content, separators=(',', ':'), default=astuple).encode()
-    if len(body) > PACK_BYTES:
+    if len(body) > COMPRESS_ABOVE_BYTES:
         body = zlib.compress(body, 1)
     return seal(body, key)
 
 
 def decode_beat(raw, key):
-    """Decode a beat.
+    """Decode and verify a beat.
 
-    :raises CodedError: ``NET-002`` if the key does not fit, ``PKT-002`` for
-        another version, ``PKT-007`` for a bad field.
+    :raises CodedError: ``NET-002`` if the keyed hash does not match,
+        ``PKT-002`` for another version, ``PKT-007`` for a malformed field.
     """
-    content = _parse(_unpack(unseal(raw, key)))
-    known = {name: content[name] for name in _KNOWN & content.keys()}
+    content = _parse_json(_decompress(unseal(raw, key)))
+    known = {name: content[name] for name in _FIELD_NAME_SET & content.keys()}
     try:
         beat = Beat(**known)
     except TypeError as exc:
         raise CodedError(Code.PKT_FIELD, str(exc), 'beat') from exc
-    _check(beat)
+    _check_types(beat)
     for name in ('loads', 'zone_loads'):
         setattr(beat, name, _read_loads(getattr(beat, name), name))
     for name in ('outcomes', 'zone_outcomes'):
@@ -212,20 +221,21 @@
 
 
 def seal(body, key):
-    """Put version and keyed hash in front of bytes."""
+    """Prefix a body with the version and a keyed hash of both."""
     head = bytes([VERSION])
     return head + _compute_tag(head + body, key) + body
 
 
 def unseal(raw, key):
-    """Check and remove what :func:`seal` has put in front.
+    """Check and remove the prefix that :func:`seal` has added.
 
-    :param key: None to check the version only, for bytes that came over a
-        connection to an address which the settings name.
-    :raises CodedError: ``PKT-002`` or ``NET-002``.
+    :param key: None to check the version only, for bytes received over a
+        connection to an address from the settings.
+    :raises CodedError: ``PKT-002`` for another version, ``NET-002`` if the
+        keyed hash does not match.
     """
     if not raw or raw[0] != VERSION:
-        raise CodedError(Code.PKT_VERSION, 'another version', 'peer')
+        raise CodedError(Code.PKT_VERSION, 'unsupported version', 'peer')
     body = raw[1 + TAG_BYTES :]
     tag = raw[1 : 1 + TAG_BYTES]
     if key is not None:
@@ -233,20 +243,25 @@
     return body
 
 
-def check_tag(found, right):
-    """Check a keyed hash.
+def check_tag(received, expected):
+    """Compare a received keyed hash with the expected one.
 
-    Anybody on the network can send to this port; believing a stranger
-    would let him send flows where he likes.
+    Any host on the network can send to this port.  If unauthenticated
+    messages were accepted, any sender could redirect flows at will.
 
-    :raises CodedError: ``NET-002``.
+    :raises CodedError: ``NET-002`` if they differ.
     """
-    if not hmac.compare_digest(found, right):
-        raise CodedError(Code.NET_FORGED, 'the tag does not fit', 'peer')
+    if not hmac.compare_digest(received, expected):
+        raise CodedError(
+            Code.NET_FORGED, 'the keyed hash does not match', 'peer'
+        )
 
 
 def dump_change(name, target, revision, now):
-    """Write a target, or that it has gone, as a list of plain values."""
+    """Convert a change of a target to a list of plain values.
+
+    :param target: :class:`Target`, None if it has gone, or ``UNREADABLE``.
+    """
     if target is None:
         return [name, revision]
     if target is UNREADABLE:
@@ -268,7 +283,7 @@
 
 
 def load_change(item, now):
-    """Read what :func:`dump_change` has written.
+    """Convert the output of :func:`dump_change` back.
 
     :returns: tuple (name, :class:`Target`, None or ``UNREADABLE``, revision).
     :raises CodedError: ``PKT-007`` if it is malformed.
@@ -280,10 +295,10 @@
 
 
 def pack_snapshot(directory, now, key, **standing):
-    """Write all that a directory knows, for an instance that is behind.
+    """Encode all facts of a directory, for an instance that lacks some.
 
     :param standing: ``zone``, ``withdrawal`` and ``beyond`` as in
-        :class:`Beat`; left out where nothing is known of them.
+        :class:`Beat`; empty or left out if nothing is known of them.
     """
     content = {
         'routes_version': directory.routes_stamp.version,
@@ -294,7 +309,7 @@
             [route.name, route.address, route.port, route.shares]
             for route in directory.list_routes()
         ],
-        # Beside the routes: an earlier version reads four values of each.
+        # Not part of the routes: earlier versions expect four values of each.
         'policies': [
             astuple(route.policy) for route in directory.list_routes()
         ],
@@ -319,12 +334,13 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """All that another instance knows; ages in seconds.
+    """All facts of another instance; ages in seconds.
 
-    :param warmups: :class:`Warmup` by service; None if it is not told, as
-        by an instance of an earlier version.
-    :param zone: the teller's zone; what is told of its withdrawal is as in
-        :class:`Beat`.
+    :param targets: tuples (target, revision) by name.
+    :param warmups: :class:`Warmup` by service; None if the sender, of an
+        earlier version, does not state them.
+    :param zone: the sender's zone; ``withdrawal`` and ``beyond`` concern it,
+        as in :class:`Beat`.
     """
 
     routes_stamp: ConfigStamp
@@ -343,15 +359,15 @@
 
 
 def unpack_snapshot(raw, now, key):
-    """Read what :func:`pack_snapshot` has written.
+    """Decode the output of :func:`pack_snapshot`.
 
     :param key: as for :func:`unseal`.
     :raises CodedError: as :func:`decode_beat` does.
     """
     unpacker = zlib.decompressobj()
     try:
-        body = unpacker.decompress(unseal(raw, key), PACKED_BYTES)
-        content = _parse(body)
+        body = unpacker.decompress(unseal(raw, key), MAX_SNAPSHOT_BYTES)
+        content = _parse_json(body)
         changes = [load_change(item, now) for item in content['targets']]
         return Snapshot(
             ConfigStamp(
@@ -372,7 +388,7 @@
             _load_withdrawal(content),
             tuple(map(str, content.get('beyond', ()))),
         )
-    except _MALFORMED as exc:
+    except _DECODE_ERRORS as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), 'snapshot') from exc
 
 
@@ -382,7 +398,7 @@
         return name, None, revision
     if len(item) == 3:
         return name, UNREADABLE, revision
-    # An instance of an earlier version does not tell when a target started.
+    # Earlier versions do not send the start of a target.
     born = item[10] if len(item) > 10 else 0
     identity, service, host, port, zone, slots, draining, cold_s = item[2:10]
     target = Target(
@@ -401,7 +417,7 @@
 
 
 def _load_stamp(content, kind):
-    # An instance of an earlier version tells no era.
+    # Earlier versions do not send an era.
     return Stamp(
         int(content.get(f'{kind}_era', 0)),
         int(content.get(f'{kind}_revision', 0)),
@@ -409,14 +425,14 @@
 
 
 def _load_withdrawal(content):
-    found = tuple(map(int, content.get('withdrawal', ())))
-    if found and not _is_standing_row(found):
-        raise ValueError(found)
-    return found
+    row = tuple(map(int, content.get('withdrawal', ())))
+    if row and not _is_in_standing_range(row):
+        raise ValueError(row)
+    return row
 
 
 def _load_routes(content):
-    # An instance of an earlier version tells no policies.
+    # Earlier versions do not send policies.
     policies = chain(content.get('policies', ()), repeat(()))
     return [
         Route(
@@ -452,94 +468,96 @@
     }
 
 
-def _unpack(body):
-    if not body.startswith(PACK_MARK):
+def _decompress(body):
+    if not body.startswith(COMPRESSED_MARK):
         return body
     try:
-        return zlib.decompressobj().decompress(body, UNPACKED_BYTES)
+        return zlib.decompressobj().decompress(body, MAX_BODY_BYTES)
     except zlib.error as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), 'body') from exc
 
 
-def _parse(body):
+def _parse_json(body):
     try:
         content = json.loads(body)
     except ValueError as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), 'body') from exc
     if not isinstance(content, dict):
-        raise CodedError(Code.PKT_FIELD, 'no object', 'body')
+        raise CodedError(Code.PKT_FIELD, 'not a JSON object', 'body')
     return content
 
 
-def _check(beat):
+def _check_types(beat):
     texts = all(
         isinstance(text, str) for text in (beat.name, beat.zone, beat.host)
     )
-    numbers = all(isinstance(getattr(beat, name), int) for name in _NUMBERS)
+    numbers = all(
+        isinstance(getattr(beat, name), int) for name in _INTEGER_FIELDS
+    )
     ages = all(
         age is None or (isinstance(age, (int, float)) and age >= 0)
         for age in (beat.routes_age, beat.targets_age)
     )
     lists = (
         isinstance(beat.changes, list)
-        and _are_texts(beat.drained_zones)
-        and _are_members(beat.members)
-        and _are_evidence(beat)
-        and _is_standing(beat)
+        and _is_list_of_strings(beat.drained_zones)
+        and _is_member_list(beat.members)
+        and _has_valid_evidence(beat)
+        and _has_valid_standing(beat)
     )
     if not (texts and numbers and ages and lists):
-        raise CodedError(Code.PKT_FIELD, 'a field of another type', 'beat')
+        raise CodedError(
+            Code.PKT_FIELD, 'a field has a wrong type or value', 'beat'
+        )
 
 
-def _are_texts(found):
-    return isinstance(found, list) and all(
-        isinstance(text, str) for text in found
+def _is_list_of_strings(value):
+    return isinstance(value, list) and all(
+        isinstance(text, str) for text in value
     )
 
 
-def _are_members(members):
+def _is_member_list(members):
     return isinstance(members, list) and all(
         isinstance(item, list)
         and len(item) == 4
-        and _are_texts(item[:3])
+        and _is_list_of_strings(item[:3])
         and isinstance(item[3], int)
         for item in members
     )
 
 
-def _are_evidence(beat):
+def _has_valid_evidence(beat):
     return (
-        _are_rows(beat.repeats, 3)
-        and _are_rows(beat.copies, 3)
-        and _are_numbers(beat.answers)
-        and _are_numbers(beat.answer_ages)
+        _is_list_of_rows(beat.repeats, 3)
+        and _is_list_of_rows(beat.copies, 3)
+        and _is_list_of_integers(beat.answers)
+        and _is_list_of_integers(beat.answer_ages)
     )
 
 
-def _is_standing(beat):
-    counts = (beat.openings, beat.withdrawal)
-    return _are_texts(beat.beyond) and all(
-        found == [] or (_are_rows([found], 3) and _is_standing_row(found))
-        for found in counts
+def _has_valid_standing(beat):
+    rows = (beat.openings, beat.withdrawal)
+    return _is_list_of_strings(beat.beyond) and all(
+        row == [] or (_is_list_of_rows([row], 3) and _is_in_standing_range(row))
+        for row in rows
     )
 
 
-def _is_standing_row(found):
-    return len(found) == 3 and all(
-        0 <= number < STANDING_LIMIT for number in found
-    )
+def _is_in_standing_range(row):
+    return len(row) == 3 and all(0 <= number < STANDING_LIMIT for number in row)
 
 
-def _are_numbers(found):
-    return isinstance(found, list) and all(
-        isinstance(number, int) for number in found
+def _is_list_of_integers(value):
+    return isinstance(value, list) and all(
+        isinstance(number, int) for number in value
     )
 
 
-def _are_rows(rows, length):
-    """Say whether something is a list of lists of so many whole numbers."""
+def _is_list_of_rows(rows, length):
+    """Say whether this is a list of lists of ``length`` integers."""
     return isinstance(rows, list) and all(
-        _are_numbers(row) and len(row) == length for row in rows
+        _is_list_of_integers(row) and len(row) == length for row in rows
     )
 
 
@@ -548,7 +566,7 @@
         return None
     try:
         return {int(cookie): int(flows) for cookie, flows in loads.items()}
-    except _NO_NUMBERS as exc:
+    except _CONVERSION_ERRORS as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), name) from exc
 
 
@@ -558,7 +576,7 @@
             int(cookie): Outcomes(*map(int, counts))
             for cookie, counts in outcomes.items()
         }
-    except _NO_NUMBERS as exc:
+    except _CONVERSION_ERRORS as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), name) from exc
 
 
