--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -1,13 +1,14 @@
-"""Which openings are admitted while the targets of a service shed.
+"""Admission control for new flows while the targets of a service shed load.
 
-Sheds show in callers' packets, refusals are resets of openings; the
-decisions are ``overload`` for the share of each priority and ``fair_shares``
-for the callers among one.  All state is this instance's own: nothing is
-stored, and no other instance is asked or told.
+Shed requests are detected from callers' packets; a refused opening is
+answered with a reset.  ``overload`` decides which share of each priority is
+admitted, and ``fair_shares`` divides that share among the callers of one
+priority.  All state is local to this instance: it is neither stored nor
+exchanged with other instances.
 
-A reset of an opening says that nothing has run.  Of a copy whose first SYN
-was not seen here that is not known, since another instance may have passed
-that one on: such a copy is dropped.
+The reset of an opening guarantees that no request of it has run.  This can't
+be guaranteed for a repeated SYN whose first copy was not seen here, because
+another instance may have forwarded that one; such a copy is dropped instead.
 """
 
 from cornelgap.decisions.fair_shares import FairShares
@@ -17,41 +18,45 @@
 from cornelgap.forwarding.packets import Drop, Reason, Reset
 
 ENABLED = True
-"""Whether anything is refused for an overload; tests take the part out."""
+"""Whether openings are refused on overload; tests turn this off."""
 
 
-class _Service:
-    """What is known of one service.
+class _ServiceAdmission:
+    """Admission state of one service.
 
-    :param places: priority by (address, port) of its routes.
+    :param priority_by_route: priority by (address, port) of its routes.
+    :ivar callers: :class:`FairShares` by priority, for limited priorities.
     """
 
-    def __init__(self, places):
-        self.places = places
+    def __init__(self, priority_by_route):
+        self.priority_by_route = priority_by_route
         self.open()
 
     def open(self):
         """Admit everything."""
-        self.gate = AdmissionGate(sorted(set(self.places.values())))
+        self.gate = AdmissionGate(sorted(set(self.priority_by_route.values())))
         self.callers = {}
 
-    def adopt(self, places):
-        """Take over the places of a newer configuration."""
-        self.places = places
-        self.gate.set_priorities(sorted(set(places.values())))
-        self.set_shares()
+    def update_routes(self, priority_by_route):
+        """Adopt the routes of a newer configuration."""
+        self.priority_by_route = priority_by_route
+        self.gate.set_priorities(sorted(set(priority_by_route.values())))
+        self.update_caller_shares()
 
-    def set_shares(self):
-        """Take over the gate's shares where they limit callers."""
+    def update_caller_shares(self):
+        """Pass the gate's shares on to the callers of each priority.
+
+        When the gate limits nothing any more, the callers are forgotten.
+        """
         if not self.gate.limited:
             self.callers.clear()
         for priority, callers in self.callers.items():
             callers.set_share(self.gate.shares.get(priority, 1))
 
     def compute_probability(self, priority, caller, counted, now):
-        """Return the chance of a caller's opening.
+        """Return the probability with which a caller's opening is admitted.
 
-        :param counted: whether it has been counted before.
+        :param counted: whether the opening has been counted before.
         """
         self.gate.note_opening(priority)
         callers = self.callers.get(priority)
@@ -64,81 +69,85 @@
 
 
 class AdmissionControl:
-    """Refuses openings beyond what targets serve.
+    """Refuses the openings that exceed the capacity of the targets.
 
-    :param rng: generator for the choice of openings.
+    :param rng: random generator that chooses the openings to refuse.
     """
 
     def __init__(self, rng):
-        """Refuse nothing before the routes are known."""
+        """Admit every opening until the routes are known."""
         self._rng = rng
         self._services = {}
-        self._usual = {}
-        self._waits = {}
+        self._shed_detectors = {}
+        self._route_waits = {}
         self._began_at = None
-        self._told = {}
+        self._logged_shares = {}
 
     def adopt_routes(self, routes):
-        """Watch the services whose routes name priorities.
+        """Control admission to the services whose routes set a priority.
 
         :param routes: route by (address, port).
         """
-        places = {}
-        for place, route in routes.items():
+        priority_by_route = {}
+        for route_key, route in routes.items():
             priority = route.policy.priority
             if priority is None:
                 continue
             for service, _ in route.shares:
-                places.setdefault(service, {})[place] = priority
-        for name in self._services.keys() - places.keys():
+                priority_by_route.setdefault(service, {})[route_key] = priority
+        for name in self._services.keys() - priority_by_route.keys():
             self._services.pop(name)
-            self._told.pop(name, None)
-        for place in self._usual.keys() - routes.keys():
-            self._usual.pop(place)
-            self._waits.pop(place)
-        for name, found in places.items():
+            self._logged_shares.pop(name, None)
+        for route_key in self._shed_detectors.keys() - routes.keys():
+            self._shed_detectors.pop(route_key)
+            self._route_waits.pop(route_key)
+        for name, found in priority_by_route.items():
             if name not in self._services:
-                self._services[name] = _Service(found)
-            elif self._services[name].places != found:
-                self._services[name].adopt(found)
+                self._services[name] = _ServiceAdmission(found)
+            elif self._services[name].priority_by_route != found:
+                self._services[name].update_routes(found)
 
     def clear(self):
-        """Admit everything and count anew, as after a standstill."""
+        """Admit everything and reset all counts, as after a stall."""
         self._began_at = None
-        self._told.clear()
+        self._logged_shares.clear()
         for service in self._services.values():
             service.open()
 
-    def note_answer(self, target, place, size, waited_s, answered_at):
-        """Note an answer to a request.
+    def note_answer(self, target, route_key, size, waited_s, answered_at):
+        """Record an answer to a request.
 
         :param target: :class:`~cornelgap.forwarding.directory_view.Target`.
-        :param place: address and port of the route.
-        :param size: bytes.
-        :param waited_s: seconds for which its caller waited.
+        :param route_key: address and port of the route.
+        :param size: size of the answer in bytes.
+        :param waited_s: seconds for which the caller waited.
         """
         service = self._services.get(target.service)
-        if service is None or place not in service.places:
+        if service is None or route_key not in service.priority_by_route:
             return
-        usual = self._usual.get(place)
-        if usual is None:
-            usual = self._usual[place] = ShedAnswerDetector()
-            self._waits[place] = RouteWaits()
-        shed = usual.note_answer(size, waited_s)
+        detector = self._shed_detectors.get(route_key)
+        if detector is None:
+            detector = self._shed_detectors[route_key] = ShedAnswerDetector()
+            self._route_waits[route_key] = RouteWaits()
+        shed = detector.note_answer(size, waited_s)
         prompt = None
         if not shed:
-            waits = self._waits[place]
+            waits = self._route_waits[route_key]
             if service.gate.targets_have_room:
                 waits.learn(waited_s)
             prompt = waits.is_prompt(waited_s)
         service.gate.note_answer(
-            target.cookie, service.places[place], shed, answered_at, prompt
+            target.cookie,
+            service.priority_by_route[route_key],
+            shed,
+            answered_at,
+            prompt,
         )
 
     def judge_opening(self, name, route, packet, now):
-        """Judge an opening of which this instance has passed nothing on.
+        """Admit or refuse an opening that was not yet forwarded from here.
 
-        :param name: the service that it is for.
+        :param name: name of the service that the opening is for.
         :returns: None to admit it, else :class:`Reset` or :class:`Drop`.
         """
         if self._began_at is None:
@@ -160,54 +169,58 @@
         return Drop(Reason.COPY_OVERLOADED)
 
     def step(self, now):
-        """Change what is admitted by what was seen.
+        """Update the admitted shares from the answers since the last step.
 
-        :returns: what is to be told of services, :class:`dict` of fields.
+        :returns: log entries about services, each a :class:`dict` of fields.
         """
-        young = self._began_at is None or now - self._began_at < STARTUP_S
-        told = []
+        starting = self._began_at is None or now - self._began_at < STARTUP_S
+        log_entries = []
         for name, service in self._services.items():
-            changed = service.gate.step(now, young)
-            # A configuration without the limited priorities ends it, too.
-            ended = name in self._told and not service.gate.limited
+            changed = service.gate.step(now, starting)
+            # A new configuration without the limited priorities also ends
+            # an overload.
+            ended = name in self._logged_shares and not service.gate.limited
             if changed or ended:
                 limited = sum(
                     callers.limited_callers
                     for callers in service.callers.values()
                 )
-                service.set_shares()
-                told.extend(self._list_news(name, service, limited))
-        return told
+                service.update_caller_shares()
+                log_entries.extend(
+                    self._list_log_fields(name, service, limited)
+                )
+        return log_entries
 
     @property
     def limited(self):
-        """Say whether openings of any service may be refused."""
-        return any(one.gate.limited for one in self._services.values())
+        """Return whether openings of any service may be refused."""
+        return any(service.gate.limited for service in self._services.values())
 
     def read_shares(self):
-        """Return the admitted share by service and priority, as text."""
+        """Return the admitted share by (service, priority as text)."""
         return {
             (name, str(priority)): share
             for name, service in self._services.items()
             for priority, share in service.gate.shares.items()
         }
 
-    def _list_news(self, name, service, limited):
-        """List what an operator should know: beginning, end, large steps."""
+    def _list_log_fields(self, name, service, limited):
+        """Yield log fields for the start, the end and large changes."""
         shares = service.gate.shares
-        before = self._told.get(name)
+        before = self._logged_shares.get(name)
         if before is not None and service.gate.limited:
             if not any(
-                _is_telling(before.get(one), shares[one]) for one in shares
+                _is_large_change(before.get(priority), shares[priority])
+                for priority in shares
             ):
                 return
         state = 'lasts'
         if before is None:
             state = 'begins'
         if service.gate.limited:
-            self._told[name] = dict(shares)
+            self._logged_shares[name] = dict(shares)
         else:
-            self._told.pop(name, None)
+            self._logged_shares.pop(name, None)
             state = 'ends'
         yield {
             'service': name,
@@ -223,13 +236,13 @@
 
 
 def has_surely_not_run(packet):
-    """Say whether no instance has passed an opening on before.
+    """Return whether no instance can have forwarded an opening before.
 
-    :param packet: a SYN of a flow that this instance has not passed on.
+    :param packet: a SYN of a flow that this instance has not forwarded.
     """
     return not packet.ack
 
 
-def _is_telling(before, share):
-    """Say whether a share has halved or doubled since it was told of."""
+def _is_large_change(before, share):
+    """Return whether a share has halved or doubled since it was logged."""
     return before is None or not before / 2 < share < before * 2
