--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -1,12 +1,15 @@
-"""What flows, here and at other instances, say of targets and zones.
-
-Repeats speak against a target, acknowledgements for it, requests that stay
-unanswered against it even so.  The decisions are ``flow_health`` for a
-target that answers nobody, ``target_outliers`` for one that fails some,
-``zone_reach`` for all targets of a zone and ``path_loss`` for this instance
-itself; here they are fed, and what is seen here is kept for the others to
-hear.  An instance that loses packets itself gives nobody up and is no
-witness for others.
+"""Failure detection for targets and zones from the flows of all instances.
+
+A packet that a caller repeats is evidence against its target, an
+acknowledgement is evidence for it.  A request that is never answered counts
+against the target although its packets were acknowledged.
+
+This module passes these observations on to four detectors: ``flow_health``
+finds targets that answer nobody, ``target_outliers`` targets that fail more
+than their peers, ``zone_reach`` zones that are out of reach, and
+``path_loss`` packet loss on the way through this instance.  It also collects
+the evidence that is sent to the other instances.  An instance that loses
+packets itself gives no target up and reports no repeats to the others.
 """
 
 from itertools import chain, repeat
@@ -18,27 +21,29 @@
 from cornelgap.decisions.target_outliers import Outcomes, TargetOutliers
 from cornelgap.decisions.zone_reach import ZoneReach
 
-WITNESSED = 3
-"""Instances of a zone from which on two must see a target silent."""
+TWO_REPORTERS_MIN_INSTANCES = 3
+"""Number of instances in a zone from which on at least two of them must see
+that a target is silent.  In smaller zones one instance is enough."""
 
 YOUNG_S = 1.5
-"""Time after the first packet, or a standstill, in which nobody is given up.
-Long flows send about one request a second: an instance that has just started
-has seen no answers yet, and repeats of what was lost while it was down would
-speak against live targets."""
+"""Time after the first packet, or after a stall of the process, in which no
+target is given up.  Long flows send about one request a second, so an
+instance that has just started has seen no answers yet, and callers still
+repeat what was lost while it was down: live targets would look dead."""
 
-OWN = ''
-"""Stands for this instance among those whose flows speak against a target."""
+LOCAL_INSTANCE = ''
+"""Name under which this instance's own flows are recorded as evidence, next
+to the names of other instances."""
 
 
 class Evidence(Struct):
-    """What the flows of one instance say of targets.
+    """Observations from the flows of one instance.
 
-    :param repeats: lists [cookie, flow number, whether again] of callers
-        that repeated on open flows.
-    :param copies: the same of callers that repeated an opening.
-    :param answers: cookies of targets that answer nevertheless, or whose
-        zone is back.
+    :param repeats: lists [cookie, flow number, whether again] for packets
+        that callers repeated on open flows.
+    :param copies: the same for repeated openings.
+    :param answers: cookies of targets that answer although another instance
+        saw repeats, or whose zone is back in reach.
     :param ages: ages of these answers in milliseconds; 0 if left out.
     """
 
@@ -48,19 +53,23 @@
     copies: list = field(default_factory=list)
 
     def __bool__(self):
-        """Say whether there is anything to tell."""
+        """Return whether there is anything to report."""
         return bool(self.repeats or self.copies or self.answers)
 
     def add_answer(self, cookie, age_s=0):
-        """Add an answer.
+        """Add an answer of a target.
 
-        :param age_s: seconds since it was seen.
+        :param age_s: seconds since the answer was seen.
         """
         self.answers.append(cookie)
         self.ages.append(round(age_s * 1000))
 
     def list_repeats(self):
-        """Return tuples (cookie, flow number, again, opening)."""
+        """Return all repeats as tuples (cookie, flow number, again, opening).
+
+        ``again`` is whether the caller had repeated the same packet before,
+        ``opening`` whether the packet is an opening.
+        """
         openings = ((*row, True) for row in self.copies)
         return [*((*row, False) for row in self.repeats), *openings]
 
@@ -74,19 +83,19 @@
 
 
 class TargetJudge:
-    """Judges targets by cookie and zones by name.
+    """Detects failed targets, by cookie, and unreachable zones, by name.
 
-    :ivar silent: cookies of the targets that were given up last.
-    :ivar overloaded: whether targets are known to shed; full ones are silent,
-        and links beside them lose packets.
+    :ivar silent: cookies of the targets given up at the last check.
+    :ivar overloaded: whether targets are known to shed load; full targets
+        are silent, and links lose packets at the same time.
     """
 
     def __init__(self):
-        """Trust everybody."""
+        """Trust all targets and zones."""
         self._health = FlowHealth()
         self._reach = ZoneReach()
         self._outliers = TargetOutliers()
-        self._path = PathLoss()
+        self._path_loss = PathLoss()
         self._evidence = Evidence()
         self._outcomes = {}
         self._began_at = None
@@ -94,62 +103,64 @@
         self.overloaded = False
 
     def set_instances(self, count, rank):
-        """Note how many instances the zone has, this one included.
+        """Set the number of instances in the zone, including this one.
 
-        :param rank: how many of them precede this one.
+        :param rank: position of this instance among them, from 0.
         """
-        self._health.min_reporters = 2 if count >= WITNESSED else 1
+        self._health.min_reporters = (
+            2 if count >= TWO_REPORTERS_MIN_INSTANCES else 1
+        )
         self._reach.min_reporters = self._health.min_reporters
         self._reach.instances = count
         self._reach.rank = rank
 
     def keep(self, cookies):
-        """Forget all targets but these."""
+        """Drop the records of all targets but these."""
         self._health.keep(cookies)
         self._outliers.keep(cookies)
-        self._path.keep(cookies)
+        self._path_loss.keep(cookies)
 
     def forget(self, cookie):
-        """Forget one target, as it has started anew."""
+        """Drop the records of one target, because it has restarted."""
         self._health.forget(cookie)
         self._outliers.forget(cookie)
 
     def clear(self):
-        """Forget all that was noted, as after a standstill of our own."""
+        """Drop all observations, as after a stall of this process."""
         self._health.clear()
         self._outliers.clear()
         self._reach.clear()
-        self._path.clear()
+        self._path_loss.clear()
         self._began_at = None
 
     def note_packet(self, now):
-        """Note that a packet has come; the first one counts as the start."""
+        """Record a packet; the time of the first one counts as the start."""
         if self._began_at is None:
             self._began_at = now
 
     def note_request(self, now):
-        """Note that a caller sent a request through here."""
-        self._path.note_request(now)
+        """Record that a caller sent a request through this instance."""
+        self._path_loss.note_request(now)
 
     def note_repeat(self, cookie, target, packet, again, now, opening=False):
-        """Note that a caller repeated a packet that had passed here.
+        """Record that a caller repeated a packet forwarded here before.
 
         :param target: the target of the cookie, None if it is not known.
-        :param again: whether it had repeated the same before.
+        :param again: whether the caller had repeated this packet before.
         :param opening: whether the flow is not open yet.
         """
         if target is None or not self._reach.is_away(target.zone):
-            self._path.note_repeat(cookie, now, again)
-        if self._path.is_lossy(now):
+            self._path_loss.note_repeat(cookie, now, again)
+        if self._path_loss.is_lossy(now):
             return
-        flow = (OWN, packet.flow)
-        if self._judge_repeat(cookie, target, flow, again, opening, now):
-            kept = self._evidence
-            rows = kept.copies if opening else kept.repeats
+        flow = (LOCAL_INSTANCE, packet.flow)
+        if self._evaluate_repeat(cookie, target, flow, again, opening, now):
+            evidence = self._evidence
+            rows = evidence.copies if opening else evidence.repeats
             rows.append([cookie, packet.source_port, int(again)])
 
     def note_outcome(self, cookie, kind):
-        """Note how a request through here has ended.
+        """Record how a request through this instance has ended.
 
         :param kind: name of a field of
             :class:`~cornelgap.decisions.target_outliers.Outcomes`.
@@ -158,17 +169,17 @@
         setattr(outcomes, kind, getattr(outcomes, kind) + 1)
 
     def take_outcomes(self):
-        """Return :class:`Outcomes` by cookie since the last call."""
+        """Return and reset the :class:`Outcomes` by cookie."""
         found, self._outcomes = self._outcomes, {}
         return found
 
     def note_zone_outcomes(self, by_service, outcomes, now):
-        """Note how requests through all instances of the zone have ended.
+        """Record how requests through all instances of the zone have ended.
 
         :param by_service: targets by service.
         :param outcomes: :class:`Outcomes` by cookie.
         """
-        if self._is_young(now):
+        if self._is_starting(now):
             return
         for cookie, found in outcomes.items():
             self._outliers.note_outcomes(cookie, found, now)
@@ -178,52 +189,59 @@
                 self._outliers.avoid_outliers(cookies, now)
 
     def note_answer(self, cookie, target, answered_at, opened_at, now):
-        """Note since when a target is known to have answered.
+        """Record an answer of a target.
 
+        :param answered_at: time since which the target is known to have
+            answered.
         :param opened_at: when the flow of the answer was first seen here.
         """
         away_since = self._take_answer(cookie, target, answered_at)
-        self._path.note_answer(cookie, answered_at, now)
+        self._path_loss.note_answer(cookie, answered_at, now)
         if away_since is not None and opened_at > away_since:
-            # One instance probes for all: the others have no flow there, and
-            # would stay out of the zone until their own turn.  A flow that
-            # was open before may show an answer that was on its way when the
-            # zone was cut off; told to all, it would hide the cut.
+            # One instance probes for all: the others have no flow in the
+            # zone and would avoid it until they probe themselves.  A flow
+            # opened before the zone was cut off may still show an answer
+            # that was on its way then; reported to all instances, it would
+            # hide that the zone is unreachable.
             self._evidence.add_answer(cookie)
 
     def take_evidence(self):
-        """Return the :class:`Evidence` that was seen since the last call."""
+        """Return and reset the :class:`Evidence` collected here."""
         found, self._evidence = self._evidence, Evidence()
         return found
 
     def note_evidence(self, by_cookie, instance, evidence, now):
-        """Note what flows through another instance say of targets.
+        """Record the observations of another instance.
 
         :param by_cookie: target by cookie.
+        :param instance: name of that instance.
         :param evidence: :class:`Evidence` of that instance.
-        :returns: :class:`Evidence` of targets that have repeats there and
-            answers here.
+        :returns: :class:`Evidence` for that instance: answers seen here of
+            targets to which packets were repeated there.
         """
         for cookie, answered_at in evidence.list_answers(now):
             target = by_cookie.get(cookie)
             self._take_answer(cookie, target, answered_at, reported=True)
-        alive = Evidence()
+        answering = Evidence()
         for cookie, number, again, opening in evidence.list_repeats():
             age = self._health.find_answer(cookie, now)
             if age is not None:
-                alive.add_answer(cookie, age)
+                answering.add_answer(cookie, age)
                 continue
-            if self._path.is_lossy(now):
+            if self._path_loss.is_lossy(now):
                 continue
             flow = (instance, number)
             target = by_cookie.get(cookie)
-            self._judge_repeat(cookie, target, flow, bool(again), opening, now)
-        return alive
+            self._evaluate_repeat(
+                cookie, target, flow, bool(again), opening, now
+            )
+        return answering
 
     def choose_avoided_zones(self, now):
-        """Return the zones that get no new flow now.
+        """Return the zones that must get no new flow now.
 
-        One that is away is left out of these now and then, as a probe.
+        From time to time an unreachable zone is left out of the list, so
+        that one new flow probes it.
         """
         return [
             zone
@@ -232,19 +250,19 @@
         ]
 
     def is_away(self, zone):
-        """Say whether a zone is away, be it due for a probe or not."""
+        """Return whether a zone is unreachable, even if a probe is due."""
         return self._reach.is_away(zone)
 
     def is_lossy(self, now):
-        """Say whether packets are lost on the way through this instance."""
-        return self._path.is_lossy(now)
+        """Return whether packets are lost on the way through this instance."""
+        return self._path_loss.is_lossy(now)
 
     def list_away(self):
-        """Return the names of zones that are away, in order."""
+        """Return the names of the unreachable zones, sorted."""
         return self._reach.list_away()
 
     def is_avoided(self, cookie, now):
-        """Say whether a target should get no new flow now."""
+        """Return whether a target should get no new flow now."""
         return self._health.is_avoided(
             cookie, now
         ) or self._outliers.is_avoided(cookie, now)
@@ -254,37 +272,44 @@
         return self._outliers.list_avoided(now)
 
     def is_given_up(self, cookie, now):
-        """Say whether a flow's packet must not go to its target.
+        """Return whether a packet must not be forwarded to its target.
 
-        One packet now and then may, so that an answer can show that the
-        target is back.
+        From time to time one packet to a silent target is let through as a
+        probe: an answer to it shows that the target is back.
         """
-        if self._is_doubtful(now) or not self._health.is_silent(cookie, now):
+        if self._may_be_local_fault(now) or not self._health.is_silent(
+            cookie, now
+        ):
             return False
         return not self._health.take_probe(cookie, now)
 
     def find_fresh_silent(self, cookies, now):
-        """Return those of some targets that have fallen silent just now."""
-        if self._is_doubtful(now):
+        """Return the targets that have become silent since the last call."""
+        if self._may_be_local_fault(now):
             return frozenset()
         silent = frozenset(
             cookie for cookie in cookies if self._health.is_silent(cookie, now)
         )
-        fresh = silent - self.silent
+        newly_silent = silent - self.silent
         self.silent = silent
-        return fresh
+        return newly_silent
 
     def _take_answer(self, cookie, target, answered_at, reported=False):
-        """Note an answer; return since when its zone was away, if it was."""
+        """Record an answer.
+
+        :param told: whether another instance has reported it.
+        :returns: since when the zone was unreachable if this answer shows
+            that it is back, else None.
+        """
         self._health.note_answer(cookie, answered_at, reported)
         if target is None:
             return None
         away_since = self._reach.note_answer(target.zone, answered_at)
         if away_since is not None:
-            self._path.forget_repeats()
+            self._path_loss.forget_repeats()
         return away_since
 
-    def _judge_repeat(self, cookie, target, flow, again, opening, now):
+    def _evaluate_repeat(self, cookie, target, flow, again, opening, now):
         away = False
         if target is not None:
             if again:
@@ -294,26 +319,27 @@
         return self._health.note_repeat(cookie, flow, now, again, away, weak)
 
     def _is_surely_away(self, zone, now):
-        """Say whether a zone is away by more than the repeats of a start.
+        """Return whether a zone is unreachable and this is no startup effect.
 
-        An instance that has just started sees no answer from zones to which
-        few of its flows lead, and repeats of what was lost while it was down.
+        An instance that has just started sees no answers from zones to which
+        it has few flows, but sees callers repeat what was lost while it was
+        down.
         """
-        return self._reach.is_away(zone) and not self._is_young(now)
+        return self._reach.is_away(zone) and not self._is_starting(now)
 
-    def _is_doubtful(self, now):
-        """Say whether what is seen here may be a fault on our own side."""
-        return self._is_young(now) or self._path.is_lossy(now)
+    def _may_be_local_fault(self, now):
+        """Return whether this instance itself may cause what is observed."""
+        return self._is_starting(now) or self._path_loss.is_lossy(now)
 
-    def _is_young(self, now):
+    def _is_starting(self, now):
         return self._began_at is None or now - self._began_at < YOUNG_S
 
 
 def is_weak(opening, overloaded, away):
-    """Say whether a repeat says nothing of its target's open flows.
+    """Return whether a repeat is no evidence against a target's open flows.
 
-    :param opening: whether it asks for a flow that is not open yet.
-    :param overloaded: whether targets are known to shed.
-    :param away: whether the target's whole zone is out of reach.
+    :param opening: whether the repeated packet is an opening.
+    :param overloaded: whether targets are known to shed load.
+    :param away: whether the target's whole zone is unreachable.
     """
     return opening or (overloaded and not away)
