--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -1,8 +1,9 @@
-"""What the packets of callers' flows say of targets.
+"""Evidence for and against targets, read from callers' packets.
 
-A packet that acknowledges more than the one before shows an answer, one that
-comes again shows that none came, and a request that has waited for long, or
-whose answer is unusually short, was not served.  The judge hears of each.
+A packet that acknowledges more data than the one before proves an answer, a
+repeated packet shows that no answer came.  A request that has waited too
+long, or whose answer is unusually short, counts as failed.  Each of these is
+passed on to the :class:`~cornelgap.forwarding.target_judge.TargetJudge`.
 """
 
 from cornelgap.forwarding import packets as pkt
@@ -11,41 +12,41 @@
 from cornelgap.forwarding.request_watch import RequestWatch
 
 SEQUENCE_MASK = 0xFFFFFFFF
-"""Sequence numbers have 32 bits and begin anew after the last one."""
+"""TCP sequence numbers have 32 bits and wrap around."""
 
 
 class FlowEvidence:
-    """Reads callers' packets and tells a judge of targets.
+    """Reads callers' packets and reports to the judge of targets.
 
     :param flows: :class:`~cornelgap.forwarding.flows.FlowTable`.
     :param judge: :class:`~cornelgap.forwarding.target_judge.TargetJudge`.
-    :param note_size: hears of each answer whose time is known: the flow's
-        key, the flow and the answer's bytes.
-    :ivar answers: counts of the times that answers took.
+    :param on_answer: called for each answer whose duration is known, with
+        the flow's key, the flow and the size of the answer in bytes.
+    :ivar answers: histogram of answer durations.
     """
 
-    def __init__(self, flows, judge, note_size):
-        """Watch no request yet."""
-        self._note_size = note_size
+    def __init__(self, flows, judge, on_answer):
+        """Start without any request."""
+        self._on_answer = on_answer
         self._flows = flows
         self._judge = judge
-        self._watch = RequestWatch()
+        self._request_watch = RequestWatch()
         self.answers = Buckets()
 
-    def keep_routes(self, places):
-        """Forget what is usual on all routes but these."""
-        self._watch.keep_routes(places)
+    def keep_routes(self, route_keys):
+        """Drop the averages of all routes but these."""
+        self._request_watch.keep_routes(route_keys)
 
     def clear(self):
-        """Forget waiting requests, as after a standstill of our own."""
-        self._watch.clear()
+        """Drop the waiting requests, as after a stall of this process."""
+        self._request_watch.clear()
 
     def note_copy(self, packet, known, target, again, now):
-        """Note that a caller repeated a SYN.
+        """Record that a caller repeated a SYN.
 
         :param known: the flow, not yet open.
         :param target: the target that got the SYN; None if it is unknown.
-        :param again: whether it had repeated the same before.
+        :param again: whether the caller had repeated the SYN before.
         """
         self._judge.note_repeat(
             known.cookie, target, packet, again, now, opening=True
@@ -54,12 +55,12 @@
             self._note_failure(known)
 
     def note_packet(self, packet, cookie, target, now):
-        """Note a packet of an open flow.
+        """Record a packet of an open flow.
 
         :param target: the target of the cookie; None if it is unknown.
         """
         known = self._flows.find(packet.flow)
-        # The first packet that is seen of a flow says nothing: whatever it
+        # The first packet seen of a flow is no evidence: whatever it
         # acknowledges may have been answered long ago.
         if known is not None:
             if known.acked != packet.ack or not known.pinned:
@@ -74,35 +75,37 @@
             packet.flow, packet, cookie, closing, now
         )
         if known is not None and flow.waiting_since == now:
-            self._watch.note_request(packet.flow, now)
+            self._request_watch.note_request(packet.flow, now)
             self._judge.note_request(now)
 
     def note_overdue(self, now):
-        """Note the requests that have waited too long as failures."""
-        for key, since in self._watch.take_due(now):
+        """Record the requests that have waited too long as failed."""
+        for key, since in self._request_watch.pop_due(now):
             flow = self._flows.find(key)
             if flow is None or flow.closed or flow.waiting_since != since:
                 continue
             self._note_failure(flow)
 
     def _note_answer(self, cookie, target, packet, known, now):
-        # A packet without data is sent at the moment when an answer came.
-        # One with data is a new request, which may acknowledge an answer
-        # of long ago; all it proves is that the last request was answered.
+        # A packet without data is sent as soon as an answer arrives.  One
+        # with data is a new request and may acknowledge an answer of long
+        # ago: it only proves that the last request was answered.
         answered_at = known.waiting_since if packet.size else now
         if known.waiting_since and not packet.size:
             waited_s = now - known.waiting_since
             self.answers.add(waited_s)
             known.answered_at, known.waited_s = now, waited_s
-            known.prompt = self._watch.note_answer(packet.flow, waited_s)
+            known.prompt = self._request_watch.note_answer(
+                packet.flow, waited_s
+            )
         self._judge.note_answer(
             cookie, target, answered_at, known.opened_at, now
         )
 
     def _note_end(self, packet, known, closing):
-        """Note how the last request of a flow has ended, if it has.
+        """Record the outcome of a flow's last request, if it has ended.
 
-        A caller that closes while it waits has given the request up.
+        A caller that closes while it waits has given up on the request.
         """
         if known is None or known.closed or known.asked_ack is None:
             return
@@ -110,18 +113,18 @@
             return
         size = (packet.ack - known.asked_ack) & SEQUENCE_MASK
         if size and known.waited_s is not None:
-            self._note_size(packet.flow, known, size)
-        if not size or self._watch.note_size(packet.flow, size):
+            self._on_answer(packet.flow, known, size)
+        if not size or self._request_watch.note_size(packet.flow, size):
             self._note_failure(known)
         elif known.prompt is not None:
             kind = 'prompt' if known.prompt else 'slow'
             self._judge.note_outcome(known.cookie, kind)
 
     def _note_failure(self, flow):
-        """Note once that a flow's last request was not served.
+        """Record that a flow's last request failed, once per request.
 
-        A caller that gives it up seconds later must not speak against a
-        target that may serve again.
+        If the caller gives the same request up seconds later, this must not
+        count again: the target may serve again by then.
         """
         if not flow.failed:
             flow.failed = True
@@ -129,12 +132,12 @@
 
 
 def is_next_request(packet, known):
-    """Say whether a packet begins another request on its flow.
+    """Return whether a packet starts a new request on its flow.
 
-    Data that come while nothing was answered are more of the same request;
-    taken for another one, it would look as if the first had no answer.
+    Data that arrives before any answer belongs to the same request.  Taken
+    for a new request, it would make the first one look unanswered.
 
-    :param known: the flow as seen here.
+    :param known: the flow as recorded here.
     """
     if not packet.size or known.sent == packet.seq + packet.size:
         return False
--- a/cornelgap/forwarding/request_watch.py
+++ b/cornelgap/forwarding/request_watch.py
@@ -1,9 +1,10 @@
-"""Which requests have not been served, as far as callers' packets tell.
+"""Detection of requests that were not served, from callers' packets alone.
 
-A target that swallows a request, a connection that the target has reset and
-a request that hangs look alike: the caller sends nothing more, or the same
-again.  An error looks like a short answer.  What is too long or too short
-follows from the usual answers of the route.  Nothing here knows a clock.
+A target that drops a request, a connection reset by the target and a request
+that hangs all look the same: the caller sends nothing more or repeats its
+data.  An error response looks like a short answer.  Whether an answer takes
+too long or is too short depends on the moving averages of its route.  The
+module reads no clock: each method is given the time.
 """
 
 import heapq
@@ -12,113 +13,121 @@
 
 from cornelgap.decisions.averages import Average
 
-SHARE = 0.02
-"""Weight of one answer in what is usual on a route: about the last fifty."""
+SAMPLE_WEIGHT = 0.02
+"""Weight of one answer in a route's moving averages, which so cover about
+the last fifty answers."""
 
-RISE_SHARE = 0.002
-"""The same where it was slower than usual.  A burst makes all answers slow
-for seconds, and what a full target does must not pass for usual."""
+SLOWER_SAMPLE_WEIGHT = 0.002
+"""Weight of an answer that took longer than the average.  A burst slows all
+answers for seconds, and the waits at full targets must not become the
+average."""
 
 PROMPT_FACTOR = 2.0
-"""An answer that takes up to so many times the usual time is prompt.  Work
-differs between requests; one that has waited in a full target's queue takes
-three times as long and more."""
+"""An answer that takes up to this many times the average duration is prompt.
+Requests differ in work; one that has waited in the queue of a full target
+takes at least three times as long."""
 
-FACTOR = 4.0
-"""A request that takes so many times its route's usual time has failed, or
-waits at a target that is much slower than its peers."""
+OVERDUE_FACTOR = 4.0
+"""A request that takes this many times its route's average duration has
+failed, or waits at a target that is much slower than its peers."""
 
-LEAST_S = 0.3
-"""Shortest wait that counts.  Answers of a cold target, or after one lost
-packet, take up to 0.2 s longer than usual ones."""
+MIN_OVERDUE_S = 0.3
+"""Shortest wait after which a request is overdue.  Answers of a cold target,
+or after one lost packet, take up to 0.2 s longer than others."""
 
-USUAL_S = 0.1
-"""Usual time of a route before its first answer."""
+DEFAULT_ANSWER_S = 0.1
+"""Duration assumed for a route before its first answer."""
 
-SHORT_SHARE = 0.25
-"""An answer of less than this share of the route's usual bytes is short.
-Whole answers of one kind differ by a factor of two or three."""
+SHORT_SIZE_FACTOR = 0.25
+"""An answer smaller than this factor times the route's average size is
+short.  Complete answers of one kind differ by a factor of two or three."""
 
-MOST_SHORT = 0.2
-"""Share of short answers from which on they are a route's habit and say
-nothing: a service whose answers differ in length, or one that fails."""
+MAX_SHORT_SHARE = 0.2
+"""Share of short answers from which on they are normal for a route and no
+sign of a failed target: the answers of the service differ in length, or the
+service as a whole fails."""
 
 
-class _Usual(Struct):
-    """The usual answers of a route.
+class _RouteAverages(Struct):
+    """Moving averages of the answers of a route.
 
-    :param seconds: how long they take.
-    :param size: how many bytes they have.
-    :param shorts: share of them that is short.
+    :param duration_s: time until the answer.
+    :param size: size of the answer in bytes.
+    :param short_share: share of short answers.
     """
 
-    seconds: Average = field(default_factory=lambda: Average(SHARE))
-    size: Average = field(default_factory=lambda: Average(SHARE))
-    shorts: Average = field(default_factory=lambda: Average(SHARE))
+    duration_s: Average = field(default_factory=lambda: Average(SAMPLE_WEIGHT))
+    size: Average = field(default_factory=lambda: Average(SAMPLE_WEIGHT))
+    short_share: Average = field(default_factory=lambda: Average(SAMPLE_WEIGHT))
 
 
 class RequestWatch:
-    """Requests that wait, by the time at which they are overdue."""
+    """Waiting requests, in the order in which they become overdue."""
 
     def __init__(self):
-        """Watch nothing."""
-        self._usual = {}
+        """Start without requests and averages."""
+        self._averages_by_route = {}
         self._due = []
 
     def note_request(self, key, now):
-        """Note that a request has begun to wait.
+        """Record that a request has begun to wait.
 
-        :param key: the flow's key; its last two parts name the route.
+        :param key: the flow's key; its last two parts are the address and
+            port of the route.
         """
-        usual_s = self._find_usual(key).seconds.read(USUAL_S)
-        due_at = now + max(LEAST_S, FACTOR * usual_s)
+        mean_s = self._get_averages(key).duration_s.read(DEFAULT_ANSWER_S)
+        due_at = now + max(MIN_OVERDUE_S, OVERDUE_FACTOR * mean_s)
         heapq.heappush(self._due, (due_at, now, key))
 
-    def note_answer(self, key, seconds):
-        """Note how long a request of a flow's route has taken.
+    def note_answer(self, key, duration_s):
+        """Record how long a request on a flow's route has taken.
 
-        :returns: whether that is about as usual.
+        :returns: whether the answer was prompt.
         """
-        usual = self._find_usual(key)
-        usual_s = usual.seconds.read(seconds)
-        slower = seconds > usual_s
-        usual.seconds.add(seconds, RISE_SHARE if slower else SHARE)
-        return seconds <= PROMPT_FACTOR * usual_s
+        averages = self._get_averages(key)
+        mean_s = averages.duration_s.read(duration_s)
+        slower = duration_s > mean_s
+        averages.duration_s.add(
+            duration_s, SLOWER_SAMPLE_WEIGHT if slower else SAMPLE_WEIGHT
+        )
+        return duration_s <= PROMPT_FACTOR * mean_s
 
     def note_size(self, key, size):
-        """Note how many bytes an answer had.
+        """Record how many bytes an answer had.
 
-        :returns: whether it is an unusually short one.
+        :returns: whether it is short, on a route where few answers are.
         """
-        usual = self._find_usual(key)
-        short = size < SHORT_SHARE * usual.size.read(0)
-        usual.size.add(size)
-        usual.shorts.add(int(short))
-        return short and usual.shorts.read(0) < MOST_SHORT
+        averages = self._get_averages(key)
+        short = size < SHORT_SIZE_FACTOR * averages.size.read(0)
+        averages.size.add(size)
+        averages.short_share.add(int(short))
+        return short and averages.short_share.read(0) < MAX_SHORT_SHARE
 
-    def take_due(self, now):
-        """Return tuples (flow key, time of the request) that are due.
+    def pop_due(self, now):
+        """Remove and return the requests whose time limit has passed.
 
-        Most of these requests have been answered since.
+        Most of them have been answered since, so check each one.
+
+        :returns: tuples (flow key, time of the request).
         """
-        found = []
+        due = []
         while self._due and self._due[0][0] <= now:
             _, since, key = heapq.heappop(self._due)
-            found.append((key, since))
-        return found
+            due.append((key, since))
+        return due
 
     def clear(self):
-        """Forget all requests, as after a standstill of our own."""
+        """Drop all requests, as after a stall of this process."""
         self._due = []
 
-    def keep_routes(self, places):
-        """Forget the usual times of all routes but these."""
-        for place in self._usual.keys() - places:
-            self._usual.pop(place)
-
-    def _find_usual(self, key):
-        place = key[2:]
-        usual = self._usual.get(place)
-        if usual is None:
-            usual = self._usual[place] = _Usual()
-        return usual
+    def keep_routes(self, route_keys):
+        """Drop the averages of all routes but these."""
+        for route_key in self._averages_by_route.keys() - route_keys:
+            self._averages_by_route.pop(route_key)
+
+    def _get_averages(self, key):
+        route_key = key[2:]
+        averages = self._averages_by_route.get(route_key)
+        if averages is None:
+            averages = self._averages_by_route[route_key] = _RouteAverages()
+        return averages
