--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -1,11 +1,12 @@
-"""Whether the own zone is in rotation: who decides, and who is believed.
-
-Each instance tells the hubs what it has seen; the first hub decides by the
-sums of the zone.  Every beat within the zone carries the verdict, with the
-time of its last change and of its last confirmation by a first hub.  The
-latest change wins, and a verdict that nobody confirms lapses: so the next
-hub goes on from it when the first one dies, an instance that starts learns
-it from whomever it hears first, and one that hears nobody returns.
+"""Agreement within a zone on whether the zone is in rotation.
+
+Each instance reports its openings to the hubs, and the first hub decides
+from the sums of the zone.  Every beat within the zone carries the verdict,
+with the time of its last change and the time at which a first hub last
+confirmed it.  The latest change wins, and a verdict that is no longer
+confirmed lapses.  So the next hub continues from it when the first one dies,
+an instance that starts learns it from the first beat or snapshot of its zone,
+and an instance that hears nobody returns into rotation.
 """
 
 import logging
@@ -20,113 +21,122 @@
 )
 
 REPORT_MAX_AGE_S = 1.3
-"""Age up to which a report counts; reports come twice a second, so this
-takes two lost datagrams in a row."""
+"""Age up to which a report counts.  Reports come twice a second, so two
+datagrams in a row may be lost."""
 
 STALE_S = 3.0
-"""Age of the last confirmation at which a verdict lapses.  The next hub takes
-over within 1.3 s and confirms with its next beat."""
+"""Age of the last confirmation at which a verdict lapses.  If the first hub
+fails, the next one takes over within 1.3 s and confirms with its next beat."""
 
-TOLD_S = 10.0
-"""Time for which a return is told.  Who has not heard of it by then has let
-the verdict lapse."""
+RETURN_REPORT_S = 10.0
+"""Time for which beats report a return into rotation.  At an instance that
+has not heard of it by then, the withdrawal has lapsed."""
 
 START_S = 1.0
-"""Longest wait for a first beat of the zone after the start, where the zone
-has no target of its own.  Ready before it knows the verdict, one instance
-brings its whole zone back into rotation."""
+"""Longest time after the start for which an instance stays unready and waits
+for a first beat of its zone, if the zone has no target of its own.  A single
+instance that is ready before it knows the verdict brings its whole zone back
+into rotation."""
 
-SNAPSHOT_S = 3.0
-"""Further time before a verdict lapses that came with a snapshot.  Without
-the key no beat can be read; seeds are asked one a second, and most of them
-are of other zones."""
+SNAPSHOT_GRACE_S = 3.0
+"""Additional time before a verdict from a snapshot lapses.  An instance that
+has no key yet can't read beats; it asks one seed a second, and most seeds are
+in other zones."""
 
 LEAVE_S = 2.0
-"""Time after the verdict in which routers let go: two missed questions, half
-a second apart, and the last copy of a SYN after 0.6 s.  Openings that still
-come after that have no other way, and are better told at once."""
+"""Time after a withdrawal for which openings are dropped.  Routers stop using
+the zone after two failed checks, half a second apart, and callers send the
+last copy of a SYN after 0.6 s.  Openings that still come later can't reach
+another zone, so they are refused at once."""
 
 IN_ROTATION, WITHDRAWN, UNDECIDED = range(3)
-"""What a beat says of the zone; the last one only as the first hub's."""
+"""State of the zone in a beat; only the first hub sends ``UNDECIDED``."""
 
-HELLO_S = 1.0
-"""Pause between two questions to hubs of the zones beyond the cut.  The
-others of them have been forgotten by then, and would be found again late."""
+CUT_PROBE_INTERVAL_S = 1.0
+"""Interval at which hubs of the zones beyond the cut are asked whether they
+can be reached again.  The other instances there have been forgotten by then
+and would be found again late."""
 
 _LOG = logging.getLogger('cornelgap.directory')
 
 
 class DropOpenings(Struct, frozen=True):
-    """Message: drop the openings that cannot be served, for some seconds.
+    """Message: drop openings that cannot be served, for ``for_s`` seconds.
 
-    A reset uses up a caller's tries at once; its copies reach an instance of
-    another zone when routers have let go of this one.
+    A caller repeats a reset opening at once and so uses up its tries.  If the
+    opening is dropped instead, the repeated SYN reaches an instance of
+    another zone as soon as routers have stopped using this one.
     """
 
     for_s: float
 
 
 class ZoneStanding:
-    """The verdict as this instance knows it.
+    """The verdict on the own zone, as known to this instance.
 
     :param neighbours: :class:`~cornelgap.forwarding.neighbours.Neighbours`.
-    :param tell: function that tells the packet actor a message.
-    :param on_change: function of whether this instance must not be ready.
+    :param send: function that sends a message to the packet actor.
+    :param on_unready_change: called with whether this instance must be
+        unready, each time that this changes.
     """
 
-    def __init__(self, neighbours, tell, on_change):
-        """Be in rotation, as far as it is known."""
+    def __init__(self, neighbours, send, on_unready_change):
+        """Start in rotation, until a verdict is known."""
         self._neighbours = neighbours
-        self._tell = tell
-        self._on_change = on_change
+        self._send = send
+        self._on_unready_change = on_unready_change
         self._withdrawal = Withdrawal()
         self._confirmed_at = float('-inf')
-        self._own = None
+        self._own_openings = None
         self._reports = {}
         self._heard_at = {}
-        self._others = frozenset()
-        self._home = frozenset()
-        self._far_hosts = []
-        self._hello_at = float('-inf')
-        self._begun = False
-        self._met = False
-        self._waits_until = None
-        self._shown = (False, IN_ROTATION)
+        self._other_zones = frozenset()
+        self._local_targets = frozenset()
+        self._remote_hub_hosts = []
+        self._cut_probed_at = float('-inf')
+        self._has_view = False
+        self._heard_own_zone = False
+        self._unready_until = None
+        self._announced = (False, IN_ROTATION)
         self._undecided_until = float('-inf')
 
     @property
     def withdrawn(self):
-        """Say whether the zone is to be out of rotation."""
+        """Return whether the zone is withdrawn from rotation."""
         return self._withdrawal.withdrawn
 
     def take_opening_report(self, report):
-        """Take what this instance has seen, None if all zones are in reach.
+        """Take the openings seen here, None if all zones are in reach.
 
-        :returns: whether the hubs are to hear of it at once.
+        :returns: whether the hubs must be informed at once.
         """
-        before, self._own = self._own, report
+        before, self._own_openings = self._own_openings, report
         return _has_unserved(report) and not _has_unserved(before)
 
     def take_view(self, view, now):
-        """Take another picture of the directory."""
+        """Take a new view of the directory."""
         zone = self._neighbours.zone
-        listed = [
+        targets = [
             target for group in view.by_service.values() for target in group
         ]
-        self._others = frozenset(
-            target.zone for target in listed if target.zone != zone
+        self._other_zones = frozenset(
+            target.zone for target in targets if target.zone != zone
         )
-        self._home = frozenset(
-            target.name for target in listed if target.zone == zone
+        self._local_targets = frozenset(
+            target.name for target in targets if target.zone == zone
         )
-        if not self._begun:
-            self._begun = True
-            if self._others and not self._home and not self._met:
-                self._waits_until = now + START_S
-        self._show(now)
+        if not self._has_view:
+            self._has_view = True
+            if (
+                self._other_zones
+                and not self._local_targets
+                and not self._heard_own_zone
+            ):
+                self._unready_until = now + START_S
+        self._announce(now)
 
     def take_beat(self, beat, now):
-        """Take what a beat says of its sender's zone."""
+        """Take the state of the sender's zone from a beat."""
         if beat.zone != self._neighbours.zone:
             self._heard_at[beat.zone] = now
             return
@@ -136,37 +146,37 @@
             self._reports.pop(beat.name, None)
             return
         self._reports[beat.name] = (now, _read_opening_report(beat))
-        self._hear(beat, beat.name, now)
+        self._take_verdict(beat, beat.name, now)
 
     def take_snapshot(self, snapshot, host, now):
-        """Take what a snapshot says of its teller's zone.
+        """Take the state of the sender's zone from a snapshot.
 
-        :param host: the teller's address.
+        :param host: address of the sender.
         """
         if snapshot.zone == self._neighbours.zone:
-            self._hear(snapshot, host, now, SNAPSHOT_S)
+            self._take_verdict(snapshot, host, now, SNAPSHOT_GRACE_S)
 
     def tick(self, now, is_heard=True):
-        """Decide if that is this instance's part.
+        """Expire old data, and decide if this instance is the first hub.
 
-        :param is_heard: whether the others can hear this instance.
-        :returns: whether the verdict has changed and is to be told at once.
+        :param is_heard: whether other instances can hear this one.
+        :returns: whether the verdict has changed and must be sent at once.
         """
         withdrawal = self._withdrawal
         if withdrawal.withdrawn and now - self._confirmed_at > STALE_S:
             withdrawal.forget()
             self._log(self._neighbours.name, now)
-        if self._waits_until is not None and now >= self._waits_until:
-            self._waits_until = None
+        if self._unready_until is not None and now >= self._unready_until:
+            self._unready_until = None
         self._reports = {
-            name: told
-            for name, told in self._reports.items()
-            if now - told[0] <= REPORT_MAX_AGE_S
+            name: dated
+            for name, dated in self._reports.items()
+            if now - dated[0] <= REPORT_MAX_AGE_S
         }
         changed = False
         undecided = withdrawal.undecided
-        # Without a picture of the directory no other zone seems to serve.
-        if self._begun and is_heard and self._neighbours.is_first_hub:
+        # Without a view of the directory no other zone seems to serve.
+        if self._has_view and is_heard and self._neighbours.is_first_hub:
             self._confirmed_at = now
             changed = withdrawal.decide(self._make_situation(now), now)
         else:
@@ -175,67 +185,72 @@
             self._log(self._neighbours.name, now)
         if withdrawal.undecided:
             self._undecided_until = now + UNDECIDED_S
-        self._show(now)
+        self._announce(now)
         return changed or withdrawal.undecided > undecided
 
     def report(self, now):
-        """Return the fields of a beat to instances of the own zone."""
-        parts = {}
+        """Return the fields for beats and snapshots within the own zone."""
+        fields = {}
         withdrawal = self._withdrawal
         beyond = frozenset()
-        own = self._own
+        own = self._own_openings
         if own is not None:
-            parts['openings'] = [own.placed, own.unserved, own.served]
+            fields['openings'] = [own.placed, own.unserved, own.served]
             beyond = own.beyond
-        told_s = now - withdrawal.changed_at
+        since_change_s = now - withdrawal.changed_at
         if withdrawal.undecided:
-            parts['withdrawal'] = [UNDECIDED, 0, 0]
-        elif withdrawal.withdrawn or told_s < TOLD_S:
-            parts['withdrawal'] = [
+            fields['withdrawal'] = [UNDECIDED, 0, 0]
+        elif withdrawal.withdrawn or since_change_s < RETURN_REPORT_S:
+            fields['withdrawal'] = [
                 int(withdrawal.withdrawn),
-                max(0, round(told_s * 1000)),
+                max(0, round(since_change_s * 1000)),
                 max(0, round((now - self._confirmed_at) * 1000)),
             ]
         if withdrawal.withdrawn:
             beyond = withdrawal.beyond
         if beyond:
-            parts['beyond'] = sorted(beyond)
-        return parts
+            fields['beyond'] = sorted(beyond)
+        return fields
 
     def list_lost_hosts(self, now):
-        """Return hosts of other zones to ask whether the cut is over."""
+        """Return hosts of other zones to ask whether the cut is over.
+
+        While the zone is in rotation, a hub only remembers the hubs of the
+        other zones for that; while it is withdrawn, the first hub asks them.
+        """
         if not self._neighbours.is_hub:
             return []
         if not self.withdrawn:
             hosts = self._neighbours.list_far_hubs()
-            self._far_hosts = hosts or self._far_hosts
+            self._remote_hub_hosts = hosts or self._remote_hub_hosts
             return []
-        due = now - self._hello_at >= HELLO_S
+        due = now - self._cut_probed_at >= CUT_PROBE_INTERVAL_S
         if not self._neighbours.is_first_hub or not due:
             return []
-        self._hello_at = now
-        return self._far_hosts
+        self._cut_probed_at = now
+        return self._remote_hub_hosts
 
-    def _hear(self, told, by, now, spare_s=0):
-        """Take what another instance of the zone has told.
+    def _take_verdict(self, message, source, now, extra_s=0):
+        """Take the verdict that another instance of the zone has sent.
 
-        :param told: beat or snapshot.
-        :param spare_s: further time before a verdict lapses.
+        :param message: beat or snapshot.
+        :param source: name or address of the sender.
+        :param extra_s: additional time before the verdict lapses.
         """
-        self._met = True
-        self._waits_until = None
-        if told.withdrawal:
-            self._compare(told, by, now, spare_s)
-        self._show(now)
-
-    def _compare(self, told, by, now, spare_s):
-        state, changed_ms, confirmed_ms = told.withdrawal
+        self._heard_own_zone = True
+        self._unready_until = None
+        if message.withdrawal:
+            self._compare(message, source, now, extra_s)
+        self._announce(now)
+
+    def _compare(self, message, source, now, extra_s):
+        state, changed_ms, confirmed_ms = message.withdrawal
         if state == UNDECIDED:
             self._undecided_until = now + UNDECIDED_S
             return
         withdrawn = state == WITHDRAWN
         changed_at = now - changed_ms / 1000
-        confirmed_at = now - confirmed_ms / 1000 + spare_s
+        confirmed_at = now - confirmed_ms / 1000 + extra_s
         withdrawal = self._withdrawal
         if withdrawn and now - confirmed_at > STALE_S:
             return
@@ -243,9 +258,9 @@
             self._confirmed_at = max(self._confirmed_at, confirmed_at)
         elif changed_at > withdrawal.changed_at:
             self._confirmed_at = confirmed_at
-            beyond = frozenset(told.beyond)
+            beyond = frozenset(message.beyond)
             withdrawal.adopt(withdrawn, changed_at, beyond)
-            self._log(by, now)
+            self._log(source, now)
 
     def _make_situation(self, now):
         neighbours = self._neighbours
@@ -254,39 +269,39 @@
             for name, (_, report) in self._reports.items()
             if report is not None
         }
-        if self._own is not None:
-            reports[neighbours.name] = self._own
+        if self._own_openings is not None:
+            reports[neighbours.name] = self._own_openings
         return Situation(
             reports,
             len(neighbours.list_recent(now)),
             self._heard_at,
-            self._others,
-            self._home,
+            self._other_zones,
+            self._local_targets,
         )
 
-    def _show(self, now):
-        """Tell readiness and the packet actor what has changed."""
+    def _announce(self, now):
+        """Report changes to the readiness check and to the packet actor."""
         state = IN_ROTATION
         if self.withdrawn:
             state = WITHDRAWN
         elif now < self._undecided_until:
             state = UNDECIDED
-        out = self.withdrawn or self._waits_until is not None
-        before, self._shown = self._shown, (out, state)
-        if out != before[0]:
-            self._on_change(out)
+        unready = self.withdrawn or self._unready_until is not None
+        before, self._announced = self._announced, (unready, state)
+        if unready != before[0]:
+            self._on_unready_change(unready)
         if state != before[1]:
-            self._tell(DropOpenings((0, LEAVE_S, UNDECIDED_S)[state]))
+            self._send(DropOpenings((0, LEAVE_S, UNDECIDED_S)[state]))
 
-    def _log(self, by, now):
+    def _log(self, source, now):
         withdrawal = self._withdrawal
         totals = withdrawal.totals
         fields = {
-            'by': by,
+            'by': source,
             'cause': withdrawal.cause,
             'beyond': sorted(withdrawal.beyond),
         }
-        if by == self._neighbours.name:
+        if source == self._neighbours.name:
             fields.update(
                 placed=totals.placed,
                 unserved=totals.unserved,
