--- a/cornelgap/forwarding/directory_view.py
+++ b/cornelgap/forwarding/directory_view.py
@@ -1,20 +1,20 @@
-"""What an instance knows of routes and targets, as packets are handled by it.
+"""The immutable view of routes and targets by which packets are forwarded.
 
-A reader gets an immutable :class:`View`, so a packet never sees half of a
-change.
+The directory makes a new :class:`View` for each change and never changes one
+that it has handed out, so no packet is handled by half of a change.
 """
 
 from msgspec import Struct, field
 
 
 class RequestPolicy(Struct, frozen=True):
-    """What the configuration says of the requests on a route.
+    """Policy of the requests on a route, from the configuration.
 
-    :param priority: 0 is the highest; None if the route names none.
-    :param latency_goal_s: seconds in which callers want an answer; 0 if the
-        route names no goal.
-    :param timeout_s: seconds after which callers give a request up; 0 if
-        the route does not tell.
+    :param priority: 0 is the highest; None if the route sets none.
+    :param latency_goal_s: seconds within which callers want an answer; 0 if
+        the route sets no goal.
+    :param timeout_s: seconds after which callers give up on a request; 0 if
+        the route sets no timeout.
     :param repeatable: whether a request may run twice.
     """
 
@@ -25,10 +25,10 @@
 
 
 class Route(Struct, frozen=True):
-    """Where new flows to one address and port may go.
+    """The services to which new flows to one address and port may go.
 
     :param shares: tuples (service, weight); weights are positive.
-    :param policy: :class:`RequestPolicy` of the requests inside.
+    :param policy: :class:`RequestPolicy` of the requests on this route.
     """
 
     name: str
@@ -39,16 +39,18 @@
 
 
 class Target(Struct, frozen=True):
-    """One lifetime of a target.
+    """One lifetime of a target, from its start to its end.
 
-    :param identity: number by which the target recognises itself.
-    :param cookie: 32 bits by which packets name it.
+    :param identity: number of the target; each packet that is forwarded to it
+        carries the number, so that the target can recognise its packets.
+    :param cookie: 32 bits by which callers' packets name the target.
     :param address: tuple (host, port).
-    :param slots: requests that it serves at once.
-    :param cold_until: time until which it is slow, process clock seconds.
-    :param born: when it was started, by a clock of its own; 0 if it does
-        not tell.  A target may start again under its name: then it holds
-        nothing of before, and this number is another one.
+    :param slots: number of requests that it serves at once.
+    :param cold_until: time until which it warms up and is slow, in seconds of
+        the process clock.
+    :param born: when it was started, by its own clock; 0 if it does not
+        tell.  A target may restart under the same name: then it has lost its
+        flows, and this number differs.
     """
 
     name: str
@@ -66,8 +68,8 @@
 class Warmup(Struct, frozen=True):
     """How the targets of a service warm up after a start.
 
-    :param seconds: how long a target is cold.
-    :param per_s: new flows a second that a cold target bears.
+    :param seconds: duration of the warm-up, in which a target is cold.
+    :param per_s: new flows per second that a cold target can take.
     """
 
     seconds: float = 0
@@ -75,31 +77,31 @@
 
 
 class Unreadable:
-    """Stands for the target of an entry that names none."""
+    """Takes the place of a target whose registration cannot be read."""
 
 
 UNREADABLE = Unreadable()
 
 
 class View(Struct, frozen=True):
-    """A consistent picture of the directory.
+    """A consistent, immutable copy of the directory.
 
     :param routes: route by (address, port).
-    :param routes_known: whether the configuration has been learnt; without
-        it, nothing can be said of a new flow.
-    :param dropped: places (address, port) of routes that were in force
-        earlier in this process and are not now.
-    :param by_cookie: target by cookie; None where two targets share it.
-    :param gone: targets without registration by cookie; None where another
-        target has taken the address.
+    :param routes_known: whether a configuration has been received; without
+        one, it is unknown whether a new flow has a route.
+    :param dropped: (address, port) of routes that were in force earlier in
+        the lifetime of this process and are not now.
+    :param by_cookie: target by cookie; None where two targets share a cookie.
+    :param gone: targets without a registration by cookie; None where another
+        target has taken over the address.
     :param by_service: targets for new flows, by service.
     :param fallback: targets whose registration may come back, by service.
-    :param drained_zones: zones whose targets get no new flow, by order of an
+    :param drained_zones: zones whose targets get no new flows, by order of an
         operator.
     :param drained_services: services that have targets in these zones.
     :param warmups: :class:`Warmup` by service.
-    :param returned: time by zone until which all its targets count as cold,
-        since an order has been taken back.
+    :param returned: for each zone whose drain order was withdrawn, the time
+        until which all its targets count as cold.
     """
 
     routes: dict = field(default_factory=dict)
@@ -115,20 +117,20 @@
     returned: dict = field(default_factory=dict)
 
     def find(self, cookie):
-        """Return the target of a cookie, registered or not, or None."""
+        """Return the target with a cookie, registered or not, or None."""
         return self.by_cookie.get(cookie) or self.gone.get(cookie)
 
     def takes_flows(self, target):
-        """Say whether a target may get new flows."""
+        """Tell whether a target may get new flows."""
         return takes_flows(target) and is_zone_open(
             target.zone, self.drained_zones
         )
 
     def is_cold(self, target, now):
-        """Say whether a target may be cold.
+        """Tell whether a target may be cold.
 
-        Targets of a zone that was drained may have started anew meanwhile;
-        their registrations tell of it a heartbeat later.
+        Targets of a zone that was drained may have restarted in the meantime;
+        their registrations show it only with the next heartbeat.
         """
         if now < target.cold_until:
             return True
@@ -136,9 +138,9 @@
 
 
 def make_cookie(identity):
-    """Fold a target's number into the 32 bits that packets carry.
+    """Fold a target's identity into the 32 bits that packets carry.
 
-    Numbers of up to 32 bits stay distinct.  0 means "no target" on the
+    Identities of up to 32 bits stay distinct.  0 means "no target" on the
     wire and is never returned.
     """
     folded = (identity ^ (identity >> 32)) & 0xFFFFFFFF
@@ -146,24 +148,24 @@
 
 
 def takes_flows(target):
-    """Say whether a target may get new flows; a draining one ends soon."""
+    """Tell whether a target may get new flows; a draining one ends soon."""
     return not target.draining
 
 
 def is_zone_open(zone, drained_zones):
-    """Say whether targets of a zone may get new flows.
+    """Tell whether targets of a zone may get new flows.
 
     An operator drains a zone before its machines are taken away; a flow that
-    is opened there all the same ends with them.
+    is opened there nevertheless breaks when they go.
     """
     return zone not in drained_zones
 
 
 def add_cookie(by_cookie, target):
-    """Add a target to a table by cookie; None marks a cookie of two."""
+    """Add a target to an index by cookie; None marks a shared cookie."""
     known = by_cookie.get(target.cookie, target)
     if known is not None and known.identity != target.identity:
-        # Two targets behind one cookie: whichever is taken, some packet
-        # would reach a target that does not hold its flow.
+        # Two targets share the cookie: whichever is chosen, some packets
+        # would reach a target that does not hold their flow.
         known = None
     by_cookie[target.cookie] = target if known is not None else None
