--- a/cornelgap/forwarding/directory_log.py
+++ b/cornelgap/forwarding/directory_log.py
@@ -1,4 +1,4 @@
-"""Log lines about what the directory has learnt, and from whom."""
+"""Log lines about changes of the directory and where they came from."""
 
 import logging
 
@@ -10,7 +10,8 @@
 def log_routes(directory, origin, now):
     """Log that a configuration was adopted.
 
-    :param origin: ``store``, or the host of another instance.
+    :param origin: source of the configuration: ``store``, or the host of
+        another instance.
     """
     _LOG.info(
         'directory: routes adopted',
@@ -26,7 +27,7 @@
 
 
 def log_drained(directory, origin):
-    """Log that other zones than before are drained."""
+    """Log that the set of drained zones has changed."""
     _LOG.info(
         'directory: drained zones changed',
         extra={
@@ -39,7 +40,7 @@
 
 
 def log_targets(directory, origin):
-    """Log that a list of targets was adopted."""
+    """Log that a complete list of targets was adopted."""
     _LOG.info(
         'directory: targets listed',
         extra={
@@ -52,9 +53,10 @@
 
 
 def log_changes(changes, origin):
-    """Log single changes of targets.
+    """Log each of some changes of targets.
 
-    :param changes: tuples (name, target or None, revision of its entry).
+    :param changes: tuples (name, target or None, revision of its entry);
+        None means that the entry was removed.
     """
     for name, target, revision in changes:
         _LOG.info(
@@ -62,19 +64,19 @@
             extra={
                 'from': origin,
                 'target': name,
-                'state': _name_state(target),
+                'state': _get_state_label(target),
                 'revision': revision,
             },
         )
 
 
 def log_refused(kind, origin, stamp, known, target=''):
-    """Log that a fact was refused as older than what is known.
+    """Log that a fact was refused because a newer one is known.
 
     :param kind: ``routes``, ``targets`` or ``drained_zones``.
-    :param stamp: place of the fact in the store's history.
-    :param known: place of what is known.
-    :param target: name of the target, if the fact is about one.
+    :param stamp: the refused fact's position in the store's history.
+    :param known: position of the known fact.
+    :param target: name of the target, if the fact is about a single one.
     """
     _LOG.info(
         'directory: fact refused as older',
@@ -90,7 +92,7 @@
     )
 
 
-def _name_state(target):
+def _get_state_label(target):
     if target is None:
         return 'gone'
     if target is UNREADABLE:
