--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -1,7 +1,8 @@
-"""Routes and targets as this instance knows them, with revision and age.
+"""The routes and targets that this instance knows, with revision and age.
 
-The platform's store is the only source.  Facts arrive late, twice, or not
-at all; the directory keeps the newest of each and how old its knowledge is.
+All of them come from the platform's store, directly or through other
+instances.  Updates can arrive late, twice, or not at all; the directory
+keeps the newest version of each and the time as of which it was current.
 """
 
 from msgspec import Struct
@@ -22,47 +23,50 @@
     Stamp,
 )
 
-REGISTRATION_RETURN_S = 2.5
-"""Time after an outage of the store during which a vanished registration
-may come back.  Targets re-register within about two seconds of the store's
+REREGISTRATION_GRACE_S = 2.5
+"""Time after an outage of the store during which a missing registration may
+come back.  Targets register again within about two seconds of the store's
 return (the platform's page on discovery); half a second is added for the
-way to us."""
+registration to reach this instance."""
 
-OUTAGE_SLACK_S = 1.0
-"""Silence above the longest healthy wait after which vanished registrations
-may be due to the store; below the three heartbeats (3.6 s) after which a
+OUTAGE_MARGIN_S = 1.0
+"""Added to the longest healthy wait between two confirmations: after a longer
+silence, the store may have been away, and registrations may be missing for
+that reason.  Less than the three heartbeats (3.6 s) after which a
 registration lapses."""
 
 
-def is_newer(place, known):
-    """Say whether a fact replaces a known one, by the store's history.
+def is_newer(position, known):
+    """Tell whether an update is newer than what is known.
 
-    A list that a lagging replica served, or a watch that repeats itself,
-    must not bring back what a later version dropped.
+    A list from a lagging replica, or a watch that delivers a change twice,
+    must not bring back what a later version removed.
 
-    :param place: stamp of the fact; within one era, its revision.
+    :param position: stamp of the update in the store's history; within one
+        era, its revision.
+    :param known: the same of what is known.
     """
-    return place > known
+    return position > known
 
 
-def compute_gone_at(target, now, outage_until):
-    """Return when a target whose registration vanished counts as gone.
+def compute_gone_at(target, now, reregistration_until):
+    """Return when a target whose registration is missing counts as gone.
 
-    While the store was away the target could not renew its registration;
-    it may be alive and hold flows.  Were they reset, callers would lose
+    While the store was away, the target could not renew its registration; it
+    may be alive and hold flows.  If these were reset, callers would lose
     answers that are on their way.
 
-    :param outage_until: time until which registrations may come back.
+    :param reregistration_until: time until which registrations may come back.
     """
-    if not target.draining and now < outage_until:
-        return outage_until
+    if not target.draining and now < reregistration_until:
+        return reregistration_until
     return now
 
 
-class _Vanished(Struct):
-    """A target without a registration.
+class _UnregisteredTarget(Struct):
+    """A target whose registration has disappeared.
 
-    :param gone_at: when it counts as gone, process clock seconds.
+    :param gone_at: when it counts as gone, in seconds of the process clock.
     """
 
     target: Target
@@ -70,17 +74,18 @@
 
 
 class Directory:
-    """Collects facts and makes views of them.
+    """Collects updates of routes, targets and drain orders, and makes views.
 
-    Revisions and eras are the store's; time is an argument, in seconds.
-    Targets are known as of one era, and the revisions of their entries are
-    of that era.
+    Revisions and eras are the store's; time is an argument, in seconds of the
+    process clock.  All targets belong to one era, and so do the revisions of
+    their entries.
     """
 
     def __init__(self, wait_s=1.0):
-        """Know nothing: neither a route nor a target.
+        """Start without routes and targets.
 
-        :param wait_s: longest healthy wait between two confirmations.
+        :param wait_s: longest healthy wait between two confirmations, in
+            seconds.
         """
         self.set_wait(wait_s)
         self.routes_stamp = UNKNOWN_CONFIG
@@ -91,52 +96,61 @@
         self.drained_stamp = UNKNOWN
         self.drained_zones = frozenset()
         self.warmups = {}
-        self._returned = {}
+        self._cold_until_by_zone = {}
         self._routes = {}
-        self._dropped = set()
+        self._removed_routes = set()
         self._targets = {}
-        self._seen_at = {}
-        self._listed_at = 0
-        self._vanished = {}
-        self._outage_until = 0
+        self._entry_revisions = {}
+        self._listed_revision = 0
+        self._unregistered = {}
+        self._reregistration_until = 0
         self._lost_writes = LostWrites()
 
     @property
     def complete(self):
-        """Say whether both routes and targets have been learnt."""
+        """Tell whether both routes and targets have been received."""
         return self.routes_as_of is not None and self.targets_as_of is not None
 
     def set_wait(self, wait_s):
-        """Judge from now on by another wait when the store was away."""
-        self._outage_s = wait_s + OUTAGE_SLACK_S
+        """Set the longest healthy wait between two confirmations.
+
+        A longer silence than this, with a margin, counts as an outage of the
+        store.
+        """
+        self._outage_threshold_s = wait_s + OUTAGE_MARGIN_S
 
     def adopt_routes(self, routes, stamp, as_of, warmups=None):
-        """Put a whole configuration in force if it is newer.
+        """Replace the whole configuration if the given one is newer.
 
-        :param routes: iterable of :class:`Route`.
+        :param routes: iterable of
+            :class:`~cornelgap.forwarding.directory_view.Route`.
         :param stamp: :class:`~cornelgap.forwarding.stamps.ConfigStamp`.
-        :param warmups: :class:`Warmup` by service; None if it is not told.
+        :param as_of: time at which the given configuration was the newest.
+        :param warmups: :class:`~cornelgap.forwarding.directory_view.Warmup`
+            by service; None if the sender does not state them.
         :returns: whether anything changed.
         """
         self.routes_as_of = max(as_of, self.routes_as_of or as_of)
         if not is_newer(stamp, self.routes_stamp):
             return False
         self.routes_stamp = stamp
-        fresh = {(route.address, route.port): route for route in routes}
-        self._dropped |= self._routes.keys()
-        self._dropped -= fresh.keys()
-        self._routes = fresh
+        routes_by_address = {
+            (route.address, route.port): route for route in routes
+        }
+        self._removed_routes |= self._routes.keys()
+        self._removed_routes -= routes_by_address.keys()
+        self._routes = routes_by_address
         if warmups is not None:
             self.warmups = warmups
         return True
 
     def adopt_drained(self, zones, stamp, now):
-        """Put the orders to drain zones in force if they are newer.
+        """Replace the orders to drain zones if the given ones are newer.
 
         :param zones: names of all zones that are to be drained.
-        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` as of which
-            these are all.
-        :returns: whether anything changed.
+        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` as of
+            which the names are complete.
+        :returns: whether the set of drained zones changes.
         """
         if not is_newer(stamp, self.drained_stamp):
             return False
@@ -148,101 +162,108 @@
             self._lost_writes.note_zones(before, now)
         self._lost_writes.release_zones(self.drained_zones)
         drained = self.list_drained()
-        self._note_returned(before - drained, now)
+        self._mark_zones_cold(before - drained, now)
         return before != drained
 
     def list_drained(self):
-        """Return the zones that get no new flow by order of an operator."""
+        """Return the zones that get no new flows by order of an operator.
+
+        They include zones whose order the store may have lost in a restore.
+        """
         return self.drained_zones | self._lost_writes.zones
 
     def confirm_routes(self, as_of):
-        """Note that the known configuration was the newest at that time."""
+        """Record that the known configuration was the newest at a time."""
         if self.routes_as_of is not None:
             self.routes_as_of = max(as_of, self.routes_as_of)
 
     def adopt_targets(self, targets, stamp, as_of, now):
-        """Replace all targets by a newer complete list.
+        """Replace all targets if the given complete list is newer.
 
         :param targets: dict name -> (Target, revision of its entry).
-        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` as of which
-            these are all.
+        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` as of
+            which the list is complete.
+        :param as_of: time at which the list was the newest.
         :returns: whether the view changes.
         """
         if stamp.era < self.targets_stamp.era:
             return False
-        ended = self.confirm_targets(as_of, now)
+        released = self.confirm_targets(as_of, now)
         if stamp < self.targets_stamp:
-            return ended
+            return released
         missing = self._targets.keys() - targets.keys()
         changed = bool(missing)
         if stamp.era > self.targets_stamp.era:
             changed |= self._begin_era(now)
         self.targets_stamp = stamp
         for name in missing:
-            self._forget(name, now)
+            self._unregister_target(name, now)
         for name, (target, entry_revision) in targets.items():
-            changed |= self._put(name, target, entry_revision)
-        # The list covers all that happened up to its revision, so single
-        # removals before it need not be remembered any more.
-        self._listed_at = stamp.revision
-        for name in self._seen_at.keys() - targets.keys():
-            self._seen_at.pop(name)
+            changed |= self._put_target(name, target, entry_revision)
+        # The list covers everything up to its revision, so the revisions of
+        # removals before it are no longer needed.
+        self._listed_revision = stamp.revision
+        for name in self._entry_revisions.keys() - targets.keys():
+            self._entry_revisions.pop(name)
         if changed:
-            # A list does not say when something vanished; up to its own
-            # revision is the safe answer.
+            # A list does not say when a missing entry was removed; its own
+            # revision is the latest possible one, and so the safe choice.
             self.targets_changed = stamp.revision
-        return changed or ended
+        return changed or released
 
     def apply_targets(self, changes, stamp, as_of, now):
-        """Apply changes that follow the known ones, in order.
+        """Apply changes that follow directly on the known state, in order.
 
-        Those of another era follow on nothing that is known: only a list
-        leads from one era to the next.
+        Changes of another era are ignored, since they do not follow on the
+        known state: only a complete list leads from one era to the next.
 
-        :param changes: tuples (name, Target or None, revision of entry).
-        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` that is
-            known with them.
+        :param changes: tuples (name, Target or None, revision of entry); None
+            means that the entry was removed.
+        :param stamp: :class:`~cornelgap.forwarding.stamps.Stamp` up to which
+            the targets are known once the changes are applied.
+        :param as_of: time at which that state was the newest.
         :returns: whether the view changes.
         """
         if stamp.era != self.targets_stamp.era:
             return False
-        ended = self.confirm_targets(as_of, now)
+        released = self.confirm_targets(as_of, now)
         changed = False
         for name, target, entry_revision in changes:
             if target is None:
-                changed |= self._remove(name, entry_revision, now)
+                changed |= self._apply_removal(name, entry_revision, now)
             else:
                 self._lost_writes.release_target(name)
-                changed |= self._put(name, target, entry_revision)
+                changed |= self._put_target(name, target, entry_revision)
         self.targets_stamp = max(stamp, self.targets_stamp)
         if changed:
             self.targets_changed = self.targets_stamp.revision
-        return changed or ended
+        return changed or released
 
     def confirm_targets(self, as_of, now):
-        """Note that the known targets were the newest at that time.
+        """Record that the known targets were the newest at a time.
 
-        :returns: whether that changes the view.
+        :returns: whether this changes the view.
         """
         before = self.targets_as_of
-        if before is not None and as_of - before > self._outage_s:
-            self._outage_until = now + REGISTRATION_RETURN_S
+        if before is not None and as_of - before > self._outage_threshold_s:
+            self._reregistration_until = now + REREGISTRATION_GRACE_S
         self.targets_as_of = as_of if before is None else max(as_of, before)
-        return self._end_lost_writes(now)
+        return self._release_lost_writes(now)
 
     def make_view(self, now):
-        """Make the picture that packets are handled by."""
+        """Make the immutable view by which packets are forwarded."""
         by_cookie = {}
         by_service = {}
         fallback = {}
         drained_services = set()
         drained_zones = self.list_drained()
-        taken = {target.address for target in self._targets.values()}
+        used_addresses = {target.address for target in self._targets.values()}
         gone = {}
-        for item in self._vanished.values():
+        for item in self._unregistered.values():
             target = item.target
-            if target.address in taken:
-                # A new lifetime at the same address proves the old one dead.
+            if target.address in used_addresses:
+                # A registered target at the same address proves that the
+                # unregistered one has ended.
                 gone[target.cookie] = None
                 continue
             if item.gone_at <= now:
@@ -263,7 +284,7 @@
         return View(
             routes=self._routes,
             routes_known=self.routes_as_of is not None,
-            dropped=frozenset(self._dropped),
+            dropped=frozenset(self._removed_routes),
             by_cookie=by_cookie,
             gone=gone,
             by_service=by_service,
@@ -273,75 +294,94 @@
             warmups=self.warmups,
             returned={
                 zone: until
-                for zone, until in self._returned.items()
+                for zone, until in self._cold_until_by_zone.items()
                 if until > now
             },
         )
 
     def next_change(self, now):
-        """Return when a vanished target turns gone, None if none does."""
+        """Return when the next unregistered target counts as gone.
+
+        :returns: a time, or None if no target is due to count as gone.
+        """
         times = [
             item.gone_at
-            for item in self._vanished.values()
+            for item in self._unregistered.values()
             if item.gone_at > now
         ]
         return min(times, default=None)
 
     def compute_age(self, now):
-        """Return the age of the older of both facts; infinite if none."""
+        """Return the age of the routes or the targets, whichever is older.
+
+        :returns: seconds; infinite while either of them is unknown.
+        """
         if not self.complete:
             return float('inf')
         return now - min(self.routes_as_of, self.targets_as_of)
 
     def knows_later(self, name, stamp):
-        """Say whether a target is known as of later than a stamp."""
-        return stamp < Stamp(self.targets_stamp.era, self._find_seen(name))
+        """Tell whether what is known of a target is newer than a stamp."""
+        return stamp < Stamp(
+            self.targets_stamp.era, self._find_entry_revision(name)
+        )
 
     def list_routes(self):
-        """Return all routes, to tell others."""
+        """Return all routes, to send them to other instances."""
         return list(self._routes.values())
 
     def list_targets(self):
-        """Return dict name -> (Target, revision), to tell others."""
+        """Return all targets, to send them to other instances.
+
+        :returns: dict name -> (Target, revision of its entry).
+        """
         return {
-            name: (target, self._seen_at[name])
+            name: (target, self._entry_revisions[name])
             for name, target in self._targets.items()
         }
 
-    def _note_returned(self, zones, now):
-        """Note that the targets of zones may get new flows, cold, from now."""
+    def _mark_zones_cold(self, zones, now):
+        """Let the targets of zones get new flows again, as cold targets.
+
+        They count as cold for the longest warm-up of any service.
+        """
         longest = max(
             (warmup.seconds for warmup in self.warmups.values()), default=0
         )
         for zone in zones:
-            self._returned[zone] = now + longest
+            self._cold_until_by_zone[zone] = now + longest
 
-    def _end_lost_writes(self, now):
-        """Let the store's word alone hold again, once it is late enough.
+    def _release_lost_writes(self, now):
+        """Stop guarding against lost writes once the state is recent enough.
 
-        :returns: whether that changes the view.
+        From then on, only what the store says is in force.
+
+        :returns: whether this changes the view.
         """
         if not self.complete:
             return False
         before = self.list_drained()
         as_of = min(self.routes_as_of, self.targets_as_of)
-        ended = self._lost_writes.end(as_of)
-        self._note_returned(before - self.list_drained(), now)
-        return ended
+        released = self._lost_writes.end(as_of)
+        self._mark_zones_cold(before - self.list_drained(), now)
+        return released
 
     def _begin_era(self, now):
-        """Go over to an era of the store whose first list has come.
+        """Begin a new era of the store, at its first list of targets.
+
+        Targets that got no new flows before it still get none until the store
+        has had time to receive its lost writes again.
 
-        :returns: whether that alone changes the view.
+        :returns: whether this alone changes the view.
         """
-        self._seen_at.clear()
-        self._listed_at = 0
+        self._entry_revisions.clear()
+        self._listed_revision = 0
         self.targets_changed = 0
         if self.targets_stamp == UNKNOWN:
             return False
-        self._outage_until = now + REGISTRATION_RETURN_S
+        self._reregistration_until = now + REREGISTRATION_GRACE_S
         known = list(self._targets.values())
-        known += [item.target for item in self._vanished.values()]
+        known += [item.target for item in self._unregistered.values()]
         closed = [
             target
             for target in known
@@ -349,53 +389,54 @@
         ]
         closed += [
             item.target
-            for item in self._vanished.values()
+            for item in self._unregistered.values()
             if item.gone_at <= now
         ]
         self._lost_writes.note_targets(closed, now)
         return bool(closed)
 
-    def _put(self, name, target, revision):
-        if not is_newer(revision, self._find_seen(name)):
+    def _put_target(self, name, target, revision):
+        if not is_newer(revision, self._find_entry_revision(name)):
             return False
-        self._seen_at[name] = revision
+        self._entry_revisions[name] = revision
         known = self._targets.get(name)
         if target is UNREADABLE:
-            return self._put_unreadable(name, known)
-        self._vanished.pop(name, None)
+            return self._drain_unreadable(name, known)
+        self._unregistered.pop(name, None)
         self._targets[name] = target
         return known != target
 
-    def _put_unreadable(self, name, known):
-        """Let a target whose entry names none any more get no new flows.
+    def _drain_unreadable(self, name, known):
+        """Stop new flows to a target whose entry no longer describes it.
 
-        Another writer has taken its entry.  The target may be alive: taken
-        as gone, its open flows would be reset.  It writes its entry anew
-        with its next heartbeat, or the entry lapses.
+        Another writer has overwritten the entry.  The target may be alive; if
+        it counted as gone, its open flows would be reset.  It rewrites its
+        entry with its next heartbeat, or the entry lapses.
         """
         if known is None or known.draining:
             return False
         self._targets[name] = replace(known, draining=True)
         return True
 
-    def _remove(self, name, revision, now):
-        if revision < self._find_seen(name):
+    def _apply_removal(self, name, revision, now):
+        if revision < self._find_entry_revision(name):
             return False
-        self._seen_at[name] = revision
+        self._entry_revisions[name] = revision
         if name not in self._targets:
             return False
-        self._forget(name, now)
+        self._unregister_target(name, now)
         return True
 
-    def _find_seen(self, name):
-        """Return the revision of what is known of a target, gone or not."""
-        seen = self._seen_at.get(name)
-        return self._listed_at if seen is None else seen
+    def _find_entry_revision(self, name):
+        """Return the newest known revision of an entry, removed or not."""
+        seen = self._entry_revisions.get(name)
+        return self._listed_revision if seen is None else seen
 
-    def _forget(self, name, now):
+    def _unregister_target(self, name, now):
         target = self._targets.pop(name)
-        gone_at = compute_gone_at(target, now, self._outage_until)
+        gone_at = compute_gone_at(target, now, self._reregistration_until)
         if self._lost_writes.is_closed(target):
-            # The backup may lack a registration whose target has open flows.
-            gone_at = max(gone_at, self._outage_until)
-        self._vanished[name] = _Vanished(target, gone_at)
+            # The backup may lack the registration of a target that has open
+            # flows.
+            gone_at = max(gone_at, self._reregistration_until)
+        self._unregistered[name] = _UnregisteredTarget(target, gone_at)
