--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -1,8 +1,10 @@
-"""The actor that owns the directory and the news between instances.
+"""The actor that owns the directory and the exchange between instances.
 
-Facts come from this instance's own followers or from other instances; the
-newest one wins, whoever told it.  The packet actor gets a view of each
-change and hears how fresh it is.
+Updates of routes, targets and drain orders come from the store, through this
+instance's own follower, or from other instances; the newest one wins,
+whatever its source.  Instances exchange them in beats, the datagrams that
+they send each other at regular intervals.  The packet actor gets a view of
+each change, and the time as of which the view was current.
 """
 
 import logging
@@ -49,49 +51,51 @@
 
 DIRECTORY = 'directory'
 TICK_S = 0.25
-BEAT_S = 0.5
-"""Seconds between two beats at most; news go out at once."""
+BEAT_INTERVAL_S = 0.5
+"""Longest time between two beats; changes are sent at once."""
 
-MEMBERS_S = 2.0
-"""Seconds between two lists of a zone's instances; they are forgotten only
-after four."""
+MEMBERS_INTERVAL_S = 2.0
+"""Seconds between two beats that list a zone's instances; an instance is
+forgotten only after four seconds without mention."""
 
-LONE_S = 0.5
-"""Time after the start in which the store has normally given routes, targets
-and the key; it answers within 4 ms, a slow one in 0.25 s."""
+SEED_DELAY_S = 0.5
+"""Time after the start before a seed is asked for a snapshot.  By then the
+store has normally delivered the routes, the targets and the key: it answers
+within 4 ms, a slow one within 0.25 s."""
 
-EVIDENCE_PER_S = 20
-"""Beats a second about targets that do not answer, at most.  When links
-lose packets every flow repeats, and reports of it would fill them too."""
+MAX_EVIDENCE_BEATS_PER_S = 20
+"""Bound of beats per second about targets that do not answer.  When links
+lose packets, every flow repeats its packets, and unbounded reports of that
+would fill the links further."""
 
 READ_BATCH = 64
 _LOG = logging.getLogger('cornelgap.directory')
 
 
 class KeyKnown(Struct, frozen=True):
-    """Message: the key under which instances talk."""
+    """Message: the key that authenticates beats between instances."""
 
     key: bytes
 
 
 class ReadSnapshot(Struct, frozen=True):
-    """Message: give all facts as bytes for another instance; asked."""
+    """Request: return the directory as bytes for another instance."""
 
 
 class ReadNews(Struct, frozen=True):
-    """Message: give counters and gauges; asked."""
+    """Request: return counters and gauges."""
 
 
 class AnnounceLeaving(Struct, frozen=True):
-    """Message: tell the others that this instance ends."""
+    """Message: tell the other instances that this one is stopping."""
 
 
 class AdoptSettings(Struct, frozen=True):
-    """Message: these settings of the instance hold from now on.
+    """Message: use these settings from now on.
 
-    :param wait_s: longest wait of a watch, seconds.
-    :param seeds: hosts of a few other instances, perhaps stale.
-    :param capacity: how much the own link carries, as a power of two.
+    :param wait_s: longest wait of a watch on the store, in seconds.
+    :param seeds: hosts of a few other instances; the list may be out of date.
+    :param capacity: capacity of this instance's link, as a power of two.
     """
 
     wait_s: float
@@ -100,15 +104,16 @@
 
 
 class DirectoryActor(NamedActor):
-    """Keeps the newest facts and spreads them.
+    """Keeps the directory up to date and distributes its changes.
 
     :param own: this instance,
         :class:`~cornelgap.forwarding.neighbours.Self`.
-    :param port: port of all instances for each other.
-    :param wait_s: longest wait of a watch, seconds.
-    :param on_complete: called once when routes and targets are known.
-    :param on_withdrawn: function of whether this instance must not be ready,
-        since its zone cannot serve.
+    :param port: UDP port on which all instances exchange beats.
+    :param seeds: hosts of a few other instances; the list may be out of date.
+    :param wait_s: longest wait of a watch on the store, in seconds.
+    :param on_complete: called once, when both routes and targets are known.
+    :param on_withdrawn: called with whether this instance must not be ready
+        because its zone cannot serve.
     """
 
     use_daemon_thread = True
@@ -116,14 +121,14 @@
     def __init__(
         self, own, port, seeds, wait_s, rng, on_complete, on_withdrawn
     ):
-        """Open the socket; know nothing yet."""
+        """Open the socket and start with an empty directory."""
         super().__init__(own.name, DIRECTORY)
         self._own = own
         self._follower_role = FollowerRole(wait_s, read_clock())
         self._directory = Directory(wait_s)
         self._neighbours = Neighbours(own, seeds, rng)
         self._sock = open_socket((own.host, port))
-        self._beats = BeatSender(
+        self._beat_sender = BeatSender(
             own,
             rng.getrandbits(48),
             self._directory,
@@ -132,37 +137,39 @@
             port,
         )
         self._reports = Reports(
-            self._neighbours, self._tell_packets, self._send_loads
+            self._neighbours, self._send_to_packet_actor, self._send_loads
         )
-        self._standing = ZoneStanding(
-            self._neighbours, self._tell_packets, on_withdrawn
+        self._zone_standing = ZoneStanding(
+            self._neighbours, self._send_to_packet_actor, on_withdrawn
         )
         self._on_complete = on_complete
-        self._complete = False
-        self._changes_at = None
-        self._beat_at = float('-inf')
-        self._members_at = float('-inf')
-        self._turn_at = read_clock()
-        self._began_at = self._turn_at
-        self._evidence = Pacer(EVIDENCE_PER_S, EVIDENCE_PER_S)
-        self._recent = frozenset()
+        self._was_complete = False
+        self._next_change_at = None
+        self._last_beat_at = float('-inf')
+        self._last_members_at = float('-inf')
+        self._received_at = read_clock()
+        self._started_at = self._received_at
+        self._evidence_pacer = Pacer(
+            MAX_EVIDENCE_BEATS_PER_S, MAX_EVIDENCE_BEATS_PER_S
+        )
+        self._recent_members = frozenset()
         self.counts = Counter()
         self.actor_inbox.add_socket(self._sock)
         self.handlers = {
             AdoptSettings: self._adopt_settings,
             AnnounceLeaving: self._announce_leaving,
-            EvidenceSeen: self._take_evidence,
-            KeyKnown: self._take_key,
-            LoadSeen: self._take_load,
-            ReadNews: self._give_news,
-            ReadSnapshot: self._give_snapshot,
-            SocketReadable: self._read,
-            RoutesKnown: self._take_routes,
-            SnapshotFetched: self._take_snapshot,
-            TargetsListed: self._take_list,
-            TargetsChanged: self._take_changes,
+            EvidenceSeen: self._handle_evidence,
+            KeyKnown: self._handle_key,
+            LoadSeen: self._handle_load,
+            ReadNews: self._collect_metrics,
+            ReadSnapshot: self._make_snapshot,
+            SocketReadable: self._read_datagrams,
+            RoutesKnown: self._handle_routes,
+            SnapshotFetched: self._handle_snapshot,
+            TargetsListed: self._handle_target_list,
+            TargetsChanged: self._handle_target_changes,
             Tick: self._tick,
-            ZonesDrained: self._take_drained,
+            ZonesDrained: self._handle_drained_zones,
         }
 
     @staticmethod
@@ -170,7 +177,10 @@
         return SocketInbox(read_clock, TICK_S)
 
     def acquire_resources(self):
-        """List all facts once: nobody can be asked yet."""
+        """Read everything from the store once.
+
+        No other instance is known yet that could be asked instead.
+        """
         tell_actor(self.scope, FOLLOWER, ListOnce())
 
     def release_resources(self):
@@ -178,33 +188,41 @@
         self._sock.close()
 
     def on_receive(self, message):
-        """Notice a standstill, then handle the message."""
+        """Handle a message; after a stall, drop the waiting datagrams first.
+
+        The ages that they state are no longer true after the process has
+        stood still.
+        """
         now = read_clock()
-        if now - self._turn_at > WAKE_S:
+        if now - self._received_at > WAKE_S:
             drop_waiting(self._sock)
-        self._turn_at = now
+        self._received_at = now
         return super().on_receive(message)
 
-    # Facts of this instance's own followers.
+    # Updates from the store, through this instance's own follower.
 
-    def _take_routes(self, fact):
-        self._spread(intake.take_routes(self._directory, fact, self._turn_at))
+    def _handle_routes(self, fact):
+        self._distribute(
+            intake.take_routes(self._directory, fact, self._received_at)
+        )
 
-    def _take_drained(self, fact):
-        if intake.take_drained(self._directory, fact, self._turn_at):
-            self._spread(changed=True)
+    def _handle_drained_zones(self, fact):
+        if intake.take_drained(self._directory, fact, self._received_at):
+            self._distribute(changed=True)
 
-    def _take_list(self, fact):
-        self._spread(intake.take_list(self._directory, fact, self._turn_at))
+    def _handle_target_list(self, fact):
+        self._distribute(
+            intake.take_list(self._directory, fact, self._received_at)
+        )
 
-    def _take_changes(self, fact):
+    def _handle_target_changes(self, fact):
         since = self._directory.targets_stamp.revision
-        changed = intake.take_changes(self._directory, fact, self._turn_at)
-        self._spread(changed, fact.changes if changed else (), since)
+        changed = intake.take_changes(self._directory, fact, self._received_at)
+        self._distribute(changed, fact.changes if changed else (), since)
 
-    # Facts of other instances.
+    # Updates from other instances.
 
-    def _read(self, _message):
+    def _read_datagrams(self, _message):
         for _ in range(READ_BATCH):
             try:
                 raw, (host, _) = self._sock.recvfrom(peers.MAX_BYTES)
@@ -213,20 +231,21 @@
             except OSError as exc:
                 self.counts[f'socket_{exc.errno}'] += 1
                 continue
-            if self._beats.key is not None:
-                self._take_datagram(raw, host)
+            if self._beat_sender.key is not None:
+                self._handle_datagram(raw, host)
 
-    def _take_datagram(self, raw, host):
+    def _handle_datagram(self, raw, host):
         try:
-            beat = peers.decode_beat(raw, self._beats.key)
+            beat = peers.decode_beat(raw, self._beat_sender.key)
             changes = [
-                peers.load_change(item, self._turn_at) for item in beat.changes
+                peers.load_change(item, self._received_at)
+                for item in beat.changes
             ]
         except CodedError as exc:
             self.counts[str(exc.code)] += 1
             return
-        self._neighbours.note_beat(beat, self._turn_at)
-        self._standing.take_beat(beat, self._turn_at)
+        self._neighbours.note_beat(beat, self._received_at)
+        self._zone_standing.take_beat(beat, self._received_at)
         if beat.hello:
             self._answer_hello(host, beat.zone)
         self._reports.take_told(beat)
@@ -235,125 +254,141 @@
         )
         if evidence:
             found = OthersEvidence(beat.name, evidence)
-            self._tell_packets(found)
+            self._send_to_packet_actor(found)
         if not beat.leaving:
-            self._compare(beat, changes)
+            self._apply_beat(beat, changes)
 
     def _answer_hello(self, host, zone):
-        members = self._neighbours.list_members(self._turn_at, zone)
+        members = self._neighbours.list_members(self._received_at, zone)
         self._send_beat([host], zone, members=members)
 
-    def _compare(self, beat, changes):
-        """Take from a beat what it says of the directory."""
-        now = self._turn_at
+    def _apply_beat(self, beat, changes):
+        """Adopt what is newer in a beat; fetch a snapshot if that is not all."""
+        now = self._received_at
         news = intake.take_beat(self._directory, beat, changes, now)
         if News.BEHIND in news:
-            fetch = Fetch(beat.host, self._beats.key)
+            fetch = Fetch(beat.host, self._beat_sender.key)
             tell_actor(self.scope, FETCHER, fetch)
         if news & {News.CHANGED, News.CONFIRMED}:
-            self._tell(News.CHANGED in news)
+            self._update_packet_actor(News.CHANGED in news)
 
-    def _take_snapshot(self, message):
-        now = self._turn_at
-        self._standing.take_snapshot(message.snapshot, message.host, now)
-        self._spread(intake.take_snapshot(self._directory, message, now))
+    def _handle_snapshot(self, message):
+        now = self._received_at
+        self._zone_standing.take_snapshot(message.snapshot, message.host, now)
+        self._distribute(intake.take_snapshot(self._directory, message, now))
 
-    def _give_snapshot(self, _message):
-        if self._beats.key is None or not self._directory.complete:
+    def _make_snapshot(self, _message):
+        if self._beat_sender.key is None or not self._directory.complete:
             return b''
         now = read_clock()
-        told = self._standing.report(now)
+        zone_report = self._zone_standing.report(now)
         return peers.pack_snapshot(
             self._directory,
             now,
-            self._beats.key,
+            self._beat_sender.key,
             zone=self._own.zone,
-            withdrawal=told.get('withdrawal', ()),
-            beyond=told.get('beyond', ()),
+            withdrawal=zone_report.get('withdrawal', ()),
+            beyond=zone_report.get('beyond', ()),
         )
 
-    # What this instance tells.
+    # Updates to the packet actor and to other instances.
 
-    def _spread(self, changed, changes=(), since=0):
-        """Tell the packet actor, and the others if that is this one's job."""
-        self._tell(changed)
+    def _distribute(self, changed, changes=(), since=0):
+        """Update the packet actor and, as a hub or follower, the zone.
+
+        :param changed: whether the view has changed.
+        :param changes: changes of targets to send, tuples (name, target or
+            None, revision of its entry).
+        :param since: revision on which the changes follow.
+        """
+        self._update_packet_actor(changed)
         if not self._directory.complete:
             return
         hosts = []
         if self._follower_role.active or self._neighbours.is_hub:
             hosts = self._neighbours.list_all_near()
         if hosts:
-            now = self._turn_at
-            dumped = [
+            now = self._received_at
+            encoded = [
                 peers.dump_change(name, target, revision, now)
                 for name, target, revision in changes
             ]
-            self._send_beat(hosts, self._own.zone, changes=dumped, since=since)
+            self._send_beat(hosts, self._own.zone, changes=encoded, since=since)
 
-    def _tell(self, changed):
-        """Tell the packet actor; targets alone will do for open flows."""
+    def _update_packet_actor(self, changed):
+        """Update the packet actor, once targets are known.
+
+        Open flows need only the targets, so the routes need not be known yet.
+        """
         directory = self._directory
         if directory.targets_as_of is None:
             return
-        now = self._turn_at
+        now = self._received_at
         view = None
-        if changed or not self._complete:
+        if changed or not self._was_complete:
             view = directory.make_view(now)
-            self._standing.take_view(view, now)
-            self._changes_at = directory.next_change(now)
+            self._zone_standing.take_view(view, now)
+            self._next_change_at = directory.next_change(now)
         as_of = now - directory.compute_age(now)
-        self._tell_packets(AdoptView(view, as_of))
-        if directory.complete and not self._complete:
-            self._complete = True
+        self._send_to_packet_actor(AdoptView(view, as_of))
+        if directory.complete and not self._was_complete:
+            self._was_complete = True
             self._on_complete()
 
-    def _tell_packets(self, message):
+    def _send_to_packet_actor(self, message):
         tell_actor(self.scope, FORWARDING, message)
 
     def _tick(self, _message):
-        now = self._turn_at
+        now = self._received_at
         neighbours = self._neighbours
         neighbours.expire(now)
-        self._decide_standing(now)
-        self._tell_members(now)
-        if self._changes_at is not None and now >= self._changes_at:
-            self._tell(changed=True)
-        self._decide_following(now)
-        self._learn_from_seeds(now)
+        self._update_zone_standing(now)
+        self._send_zone_members(now)
+        if self._next_change_at is not None and now >= self._next_change_at:
+            self._update_packet_actor(changed=True)
+        self._update_follower_role(now)
+        self._fetch_from_seed(now)
         host = neighbours.choose_hello(now)
         if host is not None:
             self._send_beat([host], self._own.zone, hello=True)
-        if now - self._beat_at >= BEAT_S:
-            self._beat_at = now
-            self._send_regular(now)
+        if now - self._last_beat_at >= BEAT_INTERVAL_S:
+            self._last_beat_at = now
+            self._send_regular_beats(now)
 
-    def _tell_members(self, now):
-        """Tell the packet actor which instances the zone has."""
+    def _send_zone_members(self, now):
+        """Tell the packet actor which instances are in the zone."""
         recent = self._neighbours.list_recent(now)
-        if recent != self._recent:
-            self._recent = recent
-            self._tell_packets(ZoneMembers(recent))
-
-    def _learn_from_seeds(self, now):
-        """Fetch what a seed knows while the store has not given the key.
-
-        An instance that starts during an outage of the store would drop all
-        packets until the store is back, in a zone that may have no other.
-        Without the key it cannot tell a stranger from an instance, so it
-        asks only addresses of its settings, which also name the store.
+        if recent != self._recent_members:
+            self._recent_members = recent
+            self._send_to_packet_actor(ZoneMembers(recent))
+
+    def _fetch_from_seed(self, now):
+        """Fetch a snapshot from a seed while the store has not sent the key.
+
+        An instance that starts during an outage of the store would otherwise
+        drop all packets until the store is back, and it may be the only one
+        of its zone.  Without the key it cannot verify that a sender is an
+        instance, so it asks only hosts from its settings, which also name
+        the store.
         """
-        if self._beats.key is not None or now - self._began_at < LONE_S:
+        if (
+            self._beat_sender.key is not None
+            or now - self._started_at < SEED_DELAY_S
+        ):
             return
         host = self._neighbours.choose_seed(now)
         if host is not None:
             tell_actor(self.scope, FETCHER, Fetch(host, None))
 
-    def _send_regular(self, now):
+    def _send_regular_beats(self, now):
         neighbours = self._neighbours
         own_zone = self._own.zone
         parts = {}
-        if neighbours.is_hub and now - self._members_at >= MEMBERS_S:
-            self._members_at = now
+        if (
+            neighbours.is_hub
+            and now - self._last_members_at >= MEMBERS_INTERVAL_S
+        ):
+            self._last_members_at = now
             parts['members'] = neighbours.list_members(now, own_zone)
         parts.update(self._reports.report(now))
         hosts = neighbours.list_near_hosts()
@@ -365,23 +400,25 @@
             own_loads = self._reports.sum_zone_loads(now)
             self._send_beat(far_hosts, '', zone_loads=own_loads)
 
-    def _take_load(self, message):
+    def _handle_load(self, message):
         self._reports.take_own(message)
-        if self._standing.take_opening_report(message.opening_report):
+        if self._zone_standing.take_opening_report(message.opening_report):
             hosts = self._neighbours.list_near_hosts()
             self._send_beat(hosts, self._own.zone)
 
-    def _decide_standing(self, now):
-        if self._standing.tick(now, is_heard=self._beats.key is not None):
+    def _update_zone_standing(self, now):
+        if self._zone_standing.tick(
+            now, is_heard=self._beat_sender.key is not None
+        ):
             self._send_beat(self._neighbours.list_all_near(), self._own.zone)
-        lost_hosts = self._standing.list_lost_hosts(now)
+        lost_hosts = self._zone_standing.list_lost_hosts(now)
         if lost_hosts:
             self._send_beat(lost_hosts, '', hello=True)
 
     def _send_loads(self, hosts, loads):
         self._send_beat(hosts, self._own.zone, loads=loads)
 
-    def _decide_following(self, now):
+    def _update_follower_role(self, now):
         neighbours = self._neighbours
         before = self._follower_role.active
         active = self._follower_role.decide(
@@ -404,9 +441,11 @@
 
     def _send_beat(self, hosts, zone, **parts):
         if zone == self._own.zone:
-            parts.update(self._standing.report(self._turn_at))
+            parts.update(self._zone_standing.report(self._received_at))
         following = self._follower_role.active
-        self._beats.send(hosts, zone, following, self._turn_at, **parts)
+        self._beat_sender.send(
+            hosts, zone, following, self._received_at, **parts
+        )
 
     def _adopt_settings(self, message):
         self._follower_role.wait_s = message.wait_s
@@ -419,8 +458,8 @@
             self._neighbours.list_all_near(), self._own.zone, leaving=True
         )
 
-    def _take_evidence(self, message):
-        if self._evidence.take(self._turn_at, urgent=True):
+    def _handle_evidence(self, message):
+        if self._evidence_pacer.take(self._received_at, urgent=True):
             self._send_beat(
                 self._neighbours.list_all_near(),
                 self._own.zone,
@@ -430,7 +469,7 @@
                 answer_ages=message.evidence.ages,
             )
 
-    def _give_news(self, _message):
+    def _collect_metrics(self, _message):
         directory = self._directory
         gauges = {
             'directory_revision': {
@@ -445,15 +484,15 @@
             },
             'config_version': directory.routes_stamp.version,
             'targets': len(directory.list_targets()),
-            'zone_withdrawn': int(self._standing.withdrawn),
+            'zone_withdrawn': int(self._zone_standing.withdrawn),
             'follows_store': int(self._follower_role.active),
             'instances': self._neighbours.count_zone(),
             'zone_drained': dict.fromkeys(directory.list_drained(), 1),
         }
         if directory.complete:
-            age = directory.compute_age(self._turn_at)
+            age = directory.compute_age(self._received_at)
             gauges['directory_age_seconds'] = age
-        return dict(self.counts + self._beats.counts), gauges
+        return dict(self.counts + self._beat_sender.counts), gauges
 
-    def _take_key(self, message):
-        self._beats.key = message.key
+    def _handle_key(self, message):
+        self._beat_sender.key = message.key
