--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -1,6 +1,7 @@
-"""The packet actor of forwarded services: owns the socket and the engine.
+"""Actor that receives callers' packets and forwards them to targets.
 
-Everything that concerns a packet happens in one turn of this actor.
+It owns the socket and the forwarding engine, and processes each packet
+completely within one turn, from receipt to sending.
 """
 
 import logging
@@ -24,20 +25,22 @@
 DATAGRAM_BYTES = 2048
 HELD_S = 1.0
 """Longest time for which packets may wait for the first directory.  Callers
-repeat a SYN after 0.2 and 0.6 s and give an attempt up after 1.4 s; an
-opening that is carried on later only occupies a target."""
+repeat a SYN after 0.2 and 0.6 s and abandon an attempt after 1.4 s; an
+opening that is forwarded later only occupies a target."""
 
-SAMPLE = 50
-"""One of so many ordinary openings, and refusals under overload, gets a
-line; all others are counted."""
+LOG_SAMPLE_INTERVAL = 50
+"""Every 50th ordinary opening, and every 50th refusal under overload, is
+logged; the others are only counted."""
 
-_SAMPLED = frozenset((Reason.PLACED, Reason.OVERLOADED, Reason.COPY_OVERLOADED))
+_SAMPLED_REASONS = frozenset(
+    (Reason.PLACED, Reason.OVERLOADED, Reason.COPY_OVERLOADED)
+)
 
-MAX_HELD = 1024
-"""Openings kept until the configuration is known.  Further ones are dropped,
-and their callers repeat."""
+MAX_PENDING_OPENINGS = 1024
+"""Most openings that are queued until the configuration is known.  Further
+ones are dropped, and their callers repeat them."""
 
-_TEXTS = {
+_LOG_LINES = {
     Forward: 'forwarding: flow placed',
     Reset: 'forwarding: flow reset',
     Drop: 'forwarding: packet dropped',
@@ -46,10 +49,12 @@
 
 
 class AdoptView(Struct, frozen=True):
-    """Message: use this picture of the directory.
+    """Message: use this view of the directory from now on.
 
-    :param view: None if the last one still holds.
-    :param as_of: time at which it was the newest, process clock seconds.
+    :param view: :class:`~cornelgap.forwarding.directory_view.View`; None if
+        the previous one is still valid.
+    :param as_of: time at which the view was known to be current, process
+        clock seconds.
     """
 
     view: object
@@ -57,19 +62,19 @@
 
 
 class AdoptColdLimit(Struct, frozen=True):
-    """Message: bound what cold targets get by this limit from now on.
+    """Message: limit the new flows of cold targets from now on.
 
-    :param limit: :class:`~cornelgap.decisions.cold_starts.ColdLimit`, None
-        for no bound.
+    :param limit: :class:`~cornelgap.decisions.cold_starts.ColdLimit`; None
+        for no limit.
     """
 
     limit: object
 
 
 class LoadSeen(Struct, frozen=True):
-    """Message: flows on targets that this instance sees.
+    """Message: load of the targets as this instance sees it.
 
-    :param loads: flows by cookie.
+    :param loads: number of flows by target cookie.
     :param outcomes: how requests have ended since the last message, by
         cookie, :class:`~cornelgap.decisions.target_outliers.Outcomes`.
     :param opening_report: openings of the last second,
@@ -85,18 +90,18 @@
 class ZoneOutcomes(Struct, frozen=True):
     """Message: how requests through all instances of the zone have ended.
 
-    :param outcomes: by cookie, as in :class:`LoadSeen`.
+    :param outcomes: by target cookie, as in :class:`LoadSeen`.
     """
 
     outcomes: dict
 
 
 class OthersLoad(Struct, frozen=True):
-    """Message: flows on targets that other instances see.
+    """Message: load of the targets as other instances see it.
 
-    :param loads: flows by cookie.
-    :param instances: instances of this zone, this one included.
-    :param pause_s: seconds between two reports of load.
+    :param loads: number of flows by target cookie.
+    :param instances: number of instances of this zone, this one included.
+    :param pause_s: seconds between two load reports.
     :param rank: how many of these instances precede this one.
     """
 
@@ -109,14 +114,15 @@
 class ZoneMembers(Struct, frozen=True):
     """Message: the instances of this zone.
 
-    :param names: frozenset; empty while too little is known of them.
+    :param names: frozenset of their names; empty shortly after the start,
+        when too few of them are known.
     """
 
     names: frozenset
 
 
 class EvidenceSeen(Struct, frozen=True):
-    """Message: what flows through this instance say of targets.
+    """Message: evidence from this instance's flows on the health of targets.
 
     :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
     """
@@ -125,23 +131,30 @@
 
 
 class OthersEvidence(Struct, frozen=True):
-    """Message: the same of another instance, by its name."""
+    """Message: evidence on the health of targets from another instance.
+
+    :param instance: name of that instance.
+    :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
+    """
 
     instance: str
     evidence: object
 
 
 class ReadCounts(Struct, frozen=True):
-    """Message: give counters, gauges and the last packet's time; asked."""
+    """Message to ask: return counters, gauges and the last packet's time."""
 
 
 class Codec(Struct, frozen=True):
-    """How packets lie on the wire.
-
-    :param decode: bytes to packet; raises :class:`CodedError`.
-    :param encode_forward: packet and target to the datagram for the target.
-    :param encode_reset: flow key and sequence number to a reset.
-    :param format_ip: number to text.
+    """Functions that convert between packets and datagrams.
+
+    :param decode: returns the packet in a datagram; raises
+        :class:`CodedError`.
+    :param encode_forward: returns the datagram for a target, from a packet
+        and the target.
+    :param encode_reset: returns the datagram of a reset, from a flow key and
+        a sequence number.
+    :param format_ip: returns the text of an IP address given as a number.
     """
 
     decode: object
@@ -151,16 +164,17 @@
 
 
 class PacketActor(NamedActor):
-    """Forwards packets.
+    """Forwards callers' packets and resets flows that have lost their target.
 
     :param engine: :class:`cornelgap.forwarding.engine.Engine`.
-    :param sock: socket at which packets arrive, the actor's own from now
-        on; callers get packets at the same port of theirs.
-    :param receiver: name of the service that hears of the load.
+    :param codec: :class:`Codec`.
+    :param sock: socket that receives the packets; the actor closes it.
+        Resets go to the same port number at the caller's address.
+    :param receiver: name of the service that gets load and evidence.
     """
 
     def __init__(self, scope, engine, codec, sock, receiver):
-        """Let packets wait until the first view of the directory."""
+        """Leave packets in the socket until the first view of the directory."""
         super().__init__(scope, FORWARDING)
         self._engine = engine
         self._codec = codec
@@ -168,27 +182,27 @@
         self._receiver = receiver
         self._sock = sock
         self._reading = False
-        self._held = []
-        self._began_at = read_clock()
-        self._turn_at = self._began_at
-        self._packet_at = self._turn_at
-        self._woken = False
-        self._silent = []
-        self._outliers = []
-        self._away = []
-        self._lossy = False
+        self._pending_openings = []
+        self._started_at = read_clock()
+        self._turn_at = self._started_at
+        self._last_packet_at = self._turn_at
+        self._has_stale_packets = False
+        self._silent_targets = []
+        self._outlier_targets = []
+        self._away_zones = []
+        self._is_path_lossy = False
         self.counts = Counter()
         self.handlers = {
             AdoptColdLimit: self._adopt_cold_limit,
             AdoptView: self._adopt_view,
             DropOpenings: self._drop_openings,
-            OthersEvidence: self._take_evidence,
-            OthersLoad: self._take_others,
+            OthersEvidence: self._note_evidence,
+            OthersLoad: self._note_others_load,
             SocketReadable: self._read,
-            ReadCounts: self._give_counts,
+            ReadCounts: self._get_counts,
             Tick: self._tick,
-            ZoneMembers: self._take_members,
-            ZoneOutcomes: self._take_outcomes,
+            ZoneMembers: self._note_members,
+            ZoneOutcomes: self._note_zone_outcomes,
         }
 
     @staticmethod
@@ -196,10 +210,10 @@
         return SocketInbox(read_clock, TICK_S)
 
     def on_receive(self, message):
-        """Notice a standstill, then handle the message."""
+        """Detect whether the process stood still, then handle the message."""
         now = read_clock()
         if now - self._turn_at > WAKE_S:
-            self._wake(now)
+            self._handle_standstill(now)
         self._turn_at = now
         return super().on_receive(message)
 
@@ -207,41 +221,42 @@
         """Close the socket."""
         self._sock.close()
 
-    def _wake(self, now):
+    def _handle_standstill(self, now):
         _LOG.warning(
             'forwarding: process stood still',
             extra={'for_s': round(now - self._turn_at, 3)},
         )
-        self._woken = True
+        self._has_stale_packets = True
         self._engine.distrust(now)
 
     def _adopt_view(self, message):
         if message.view is not None:
             self._engine.adopt_view(message.view)
-            self._reset_lost()
+            self._reset_lost_flows()
         self._engine.note_fresh(message.as_of)
         if not self._reading:
-            self._begin_reading()
-        if self._held and self._engine.view.routes_known:
-            self._release_held()
-
-    def _release_held(self):
-        """Handle the openings that came before the configuration."""
-        held, self._held = self._held, []
-        if self._turn_at - self._began_at > HELD_S:
-            self.counts[Reason.ROUTES_UNKNOWN] += len(held)
+            self._start_reading()
+        if self._pending_openings and self._engine.view.routes_known:
+            self._handle_pending_openings()
+
+    def _handle_pending_openings(self):
+        """Handle the openings that arrived before the configuration."""
+        openings, self._pending_openings = self._pending_openings, []
+        if self._turn_at - self._started_at > HELD_S:
+            self.counts[Reason.ROUTES_UNKNOWN] += len(openings)
             return
-        for packet in held:
-            self._carry_out(packet)
+        for packet in openings:
+            self._handle_packet(packet)
 
-    def _begin_reading(self):
-        """Read packets from now on, those that have waited first.
+    def _start_reading(self):
+        """Read packets from now on, beginning with those in the socket.
 
-        Without routes and targets each of them would be dropped, and its
-        caller would find out by a repeat of its own.
+        Packets read before routes and targets are known would be dropped,
+        and their callers would have to repeat them.  Those that have waited
+        for too long are dropped now.
         """
         self._reading = True
-        waited_s = self._turn_at - self._began_at
+        waited_s = self._turn_at - self._started_at
         if waited_s > HELD_S:
             self.counts[Reason.NOT_FRESH] += drop_waiting(self._sock)
         _LOG.info(
@@ -252,63 +267,63 @@
 
     def _read(self, _message):
         self._read_batch()
-        self._tell_evidence()
+        self._report_evidence()
 
-    def _tell_evidence(self):
+    def _report_evidence(self):
         evidence = self._engine.judge.take_evidence()
         if evidence:
             self._tell(EvidenceSeen(evidence))
-            self._reset_lost()
+            self._reset_lost_flows()
 
-    def _reset_lost(self):
-        due = self._engine.reset_lost(self._turn_at)
-        self._log_beliefs()
-        for key, reset in due:
+    def _reset_lost_flows(self):
+        resets = self._engine.reset_lost(self._turn_at)
+        self._log_assessment_changes()
+        for key, reset in resets:
             self.counts[reset.reason] += 1
             self._send_reset(key, reset.seq)
             _LOG.info(
-                _TEXTS[Reset],
-                extra={'flow': self._name_flow(key), 'why': reset.reason},
+                _LOG_LINES[Reset],
+                extra={'flow': self._format_flow(key), 'why': reset.reason},
             )
 
-    def _name_flow(self, key):
+    def _format_flow(self, key):
         source, source_port, destination, destination_port = key
         caller = f'{self._codec.format_ip(source)}:{source_port}'
         return (
             f'{caller}>{self._codec.format_ip(destination)}:{destination_port}'
         )
 
-    def _log_beliefs(self):
-        """Tell which targets and zones are judged otherwise than before."""
+    def _log_assessment_changes(self):
+        """Log targets, zones and the path if their assessment has changed."""
         silent = self._engine.name_silent()
-        if silent != self._silent:
+        if silent != self._silent_targets:
             _LOG.info(
                 'forwarding: targets given up',
-                extra={'silent': silent, 'before': self._silent},
+                extra={'silent': silent, 'before': self._silent_targets},
             )
-            self._silent = silent
+            self._silent_targets = silent
         outliers = self._engine.name_outliers(self._turn_at)
-        if outliers != self._outliers:
+        if outliers != self._outlier_targets:
             _LOG.info(
                 'forwarding: targets fail more than their peers',
-                extra={'targets': outliers, 'before': self._outliers},
+                extra={'targets': outliers, 'before': self._outlier_targets},
             )
-            self._outliers = outliers
+            self._outlier_targets = outliers
         away = self._engine.judge.list_away()
-        if away != self._away:
+        if away != self._away_zones:
             _LOG.info(
                 'forwarding: zones away',
-                extra={'zones': away, 'before': self._away},
+                extra={'zones': away, 'before': self._away_zones},
             )
-            self._away = away
+            self._away_zones = away
         lossy = self._engine.judge.is_lossy(self._turn_at)
-        if lossy != self._lossy:
+        if lossy != self._is_path_lossy:
             _LOG.warning(
                 'forwarding: packets are lost on the way here'
                 if lossy
                 else 'forwarding: packets are no longer lost'
             )
-            self._lossy = lossy
+            self._is_path_lossy = lossy
 
     def _send_reset(self, key, seq):
         caller = (self._codec.format_ip(key[0]), self._port)
@@ -319,30 +334,32 @@
             try:
                 raw = self._sock.recv(DATAGRAM_BYTES)
             except BlockingIOError:
-                self._woken = False
+                self._has_stale_packets = False
                 return
             except OSError as exc:
-                # An ICMP error of an earlier send is told here; the socket
-                # itself is fine.
+                # recv reports an ICMP error of an earlier send; the socket
+                # itself is still usable.
                 self.counts[f'socket_{exc.errno}'] += 1
                 continue
-            self._handle(raw)
+            self._handle_datagram(raw)
 
-    def _handle(self, raw):
+    def _handle_datagram(self, raw):
         now = self._turn_at
-        self._packet_at = now
+        self._last_packet_at = now
         try:
             packet = self._codec.decode(raw)
         except CodedError as exc:
             self.counts[str(exc.code)] += 1
             return
-        self._carry_out(packet)
+        self._handle_packet(packet)
 
-    def _carry_out(self, packet):
-        effect = self._engine.handle(packet, self._turn_at, self._woken)
+    def _handle_packet(self, packet):
+        effect = self._engine.handle(
+            packet, self._turn_at, self._has_stale_packets
+        )
         if effect.reason is Reason.ROUTES_UNKNOWN:
-            if len(self._held) < MAX_HELD:
-                self._held.append(packet)
+            if len(self._pending_openings) < MAX_PENDING_OPENINGS:
+                self._pending_openings.append(packet)
                 return
         self.counts[effect.reason] += 1
         if effect.reason is not Reason.KNOWN:
@@ -355,13 +372,15 @@
             self._send_reset(packet.flow, effect.seq)
 
     def _log_effect(self, packet, effect):
-        if effect.reason in _SAMPLED and not self._is_sampled(effect.reason):
+        if effect.reason in _SAMPLED_REASONS and not self._is_sampled(
+            effect.reason
+        ):
             return
         target = effect.target if isinstance(effect, Forward) else None
         _LOG.info(
-            _TEXTS[type(effect)],
+            _LOG_LINES[type(effect)],
             extra={
-                'flow': self._name_flow(packet.flow),
+                'flow': self._format_flow(packet.flow),
                 'why': effect.reason,
                 'copy': packet.ack if packet.flags & SYN else None,
                 'cookie': packet.cookie,
@@ -373,40 +392,41 @@
         )
 
     def _is_sampled(self, reason):
-        return self.counts[reason] % SAMPLE == 1
+        return self.counts[reason] % LOG_SAMPLE_INTERVAL == 1
 
     def _send(self, datagram, address):
         try:
             self._sock.sendto(datagram, address)
         except OSError as exc:
-            # The network is full or gone; the caller repeats.
+            # The send buffer is full or the network is unreachable; the
+            # caller repeats its packet.
             self.counts[f'unsent_{exc.errno}'] += 1
 
-    def _take_evidence(self, message):
+    def _note_evidence(self, message):
         alive = self._engine.note_evidence(
             message.instance, message.evidence, self._turn_at
         )
         if alive:
             self._tell(EvidenceSeen(alive))
-        self._reset_lost()
+        self._reset_lost_flows()
 
     def _tell(self, message):
         tell_actor(self.scope, self._receiver, message)
 
-    def _take_outcomes(self, message):
+    def _note_zone_outcomes(self, message):
         self._engine.note_zone_outcomes(message.outcomes, self._turn_at)
-        self._log_beliefs()
+        self._log_assessment_changes()
 
     def _adopt_cold_limit(self, message):
         self._engine.set_cold_limit(message.limit)
 
-    def _take_members(self, message):
+    def _note_members(self, message):
         self._engine.note_members(message.names)
 
     def _drop_openings(self, message):
         self._engine.openings.drop_until(self._turn_at + message.for_s)
 
-    def _take_others(self, message):
+    def _note_others_load(self, message):
         self._engine.note_others(
             message.loads, message.instances, message.pause_s, message.rank
         )
@@ -415,21 +435,21 @@
         self._engine.note_overdue(self._turn_at)
         self._step_admission()
         self._engine.expire(self._turn_at)
-        self._tell_evidence()
-        self._reset_lost()
+        self._report_evidence()
+        self._reset_lost_flows()
         flows = self._engine.flows
-        news = LoadSeen(
+        report = LoadSeen(
             flows.count_flows(),
             self._engine.judge.take_outcomes(),
             self._engine.make_opening_report(self._turn_at),
         )
-        self._tell(news)
+        self._tell(report)
 
     def _step_admission(self):
         for fields in self._engine.step_admission(self._turn_at):
             _LOG.warning('forwarding: overload of a service', extra=fields)
 
-    def _give_counts(self, _message):
+    def _get_counts(self, _message):
         loads = self._engine.flows.loads.values()
         gauges = {
             'answer_seconds_bucket': dict(self._engine.answers.counts),
@@ -438,4 +458,4 @@
             'way_lossy': int(self._engine.judge.is_lossy(self._turn_at)),
             'admitted_share': self._engine.admission.read_shares(),
         }
-        return dict(self.counts), gauges, self._packet_at
+        return dict(self.counts), gauges, self._last_packet_at
