--- a/cornelgap/forwarding/reports.py
+++ b/cornelgap/forwarding/reports.py
@@ -1,7 +1,7 @@
-"""What instances report of the flows on targets, and how requests ended.
+"""Exchange of target loads and request outcomes between instances.
 
-Each instance tells the first hub of its zone; the hub sums up and tells
-everybody.  The packet actor hears of the sums.
+Each instance reports to the first hub of its zone; the hub adds the reports
+up and sends the sums to all instances.  The packet actor gets the sums.
 """
 
 from cornelgap.forwarding.neighbours import add_loads, add_outcomes
@@ -9,77 +9,87 @@
 
 
 class Reports:
-    """Loads and outcomes, on their way between instances.
+    """Collects loads and outcomes and reports them when they are due.
 
     :param neighbours: :class:`~cornelgap.forwarding.neighbours.Neighbours`.
-    :param tell: function that tells the packet actor a message.
-    :param send_loads: function that sends own loads to some hosts.
+    :param tell: function that sends a message to the packet actor.
+    :param send_loads: function that sends loads to a list of hosts.
     """
 
     def __init__(self, neighbours, tell, send_loads):
-        """Know of no flow yet."""
+        """Start without loads and outcomes."""
         self._neighbours = neighbours
         self._tell = tell
         self._send_loads = send_loads
-        self._load_at = float('-inf')
-        self._loads = {}
-        self._reported = {}
-        self._outcomes = {}
+        self._loads_sent_at = float('-inf')
+        self._own_loads = {}
+        self._last_reported_loads = {}
+        self._pending_outcomes = {}
 
     def take_own(self, message):
-        """Take :class:`~cornelgap.forwarding.packet_actor.LoadSeen`."""
-        self._loads = message.loads
-        add_outcomes(self._outcomes, message.outcomes)
+        """Store the loads and add up the outcomes of the own packet actor.
+
+        :param message: :class:`~cornelgap.forwarding.packet_actor.LoadSeen`.
+        """
+        self._own_loads = message.loads
+        add_outcomes(self._pending_outcomes, message.outcomes)
 
     def take_told(self, beat):
-        """Take the outcomes that another instance has told."""
+        """Handle the outcomes in a beat of another instance.
+
+        Sums of the own zone go to the packet actor; the first hub adds up
+        those of single instances.
+        """
         if beat.zone_outcomes and beat.zone == self._neighbours.zone:
             self._tell(ZoneOutcomes(beat.zone_outcomes))
         if beat.outcomes and self._neighbours.is_first_hub:
-            add_outcomes(self._outcomes, beat.outcomes)
+            add_outcomes(self._pending_outcomes, beat.outcomes)
 
     def sum_zone_loads(self, now):
-        """Return flows by cookie of the whole zone, for other zones."""
-        return self._neighbours.sum_zone_loads(self._loads, now)
+        """Return the zone's flows by target cookie, for other zones."""
+        return self._neighbours.sum_zone_loads(self._own_loads, now)
 
     def report(self, now):
-        """Report what is due.
+        """Report loads if they are due, and outcomes if there are any.
+
+        :returns: dict of fields to add to the regular beat.
+        """
+        beat_fields = {}
+        if now - self._loads_sent_at >= self._neighbours.choose_load_pause():
+            self._loads_sent_at = now
+            self._report_loads(now, beat_fields)
+        self._report_outcomes(beat_fields)
+        return beat_fields
+
+    def _report_loads(self, now, beat_fields):
+        """Tell the packet actor the load of others, and the hub the own one.
 
-        :returns: dict of further fields of the regular beat.
+        The hub itself puts the sum of both into its beat.
         """
-        parts = {}
-        if now - self._load_at >= self._neighbours.choose_load_pause():
-            self._load_at = now
-            self._report_load(now, parts)
-        self._report_outcomes(parts)
-        return parts
-
-    def _report_load(self, now, parts):
-        """Tell the packet actor of others' load, and the hub of our own."""
         neighbours = self._neighbours
-        others = neighbours.sum_others(self._reported, now)
-        news = OthersLoad(
-            others,
+        other_loads = neighbours.sum_others(self._last_reported_loads, now)
+        message = OthersLoad(
+            other_loads,
             neighbours.count_zone(),
             neighbours.choose_load_pause(),
             neighbours.compute_rank(),
         )
-        self._tell(news)
+        self._tell(message)
         if neighbours.is_first_hub:
-            total = dict(others)
-            add_loads(total, self._loads)
-            parts['zone_loads'] = total
+            total = dict(other_loads)
+            add_loads(total, self._own_loads)
+            beat_fields['zone_loads'] = total
         else:
-            self._reported = self._loads
-            self._send_loads(neighbours.list_load_hosts(), self._loads)
+            self._last_reported_loads = self._own_loads
+            self._send_loads(neighbours.list_load_hosts(), self._own_loads)
 
-    def _report_outcomes(self, parts):
-        """Tell the hub how requests ended, or as the hub all of the zone."""
-        outcomes, self._outcomes = self._outcomes, {}
+    def _report_outcomes(self, beat_fields):
+        """Report outcomes to the hub, or as the hub the sums to the zone."""
+        outcomes, self._pending_outcomes = self._pending_outcomes, {}
         if not outcomes:
             return
         if self._neighbours.is_first_hub:
-            parts['zone_outcomes'] = outcomes
+            beat_fields['zone_outcomes'] = outcomes
             self._tell(ZoneOutcomes(outcomes))
         else:
-            parts['outcomes'] = outcomes
+            beat_fields['outcomes'] = outcomes
