--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -1,7 +1,7 @@
-"""How facts get into the directory, from the store and from others.
+"""Update of the directory with facts from the store and other instances.
 
-Each function takes in one message, logs what it has changed, and says
-whether anything has; what becomes of it is the directory actor's to do.
+Each function applies one message to the directory, logs the changes and
+returns whether anything has changed.  The directory actor passes changes on.
 """
 
 from cornelgap.forwarding import directory_log
@@ -9,11 +9,11 @@
 from cornelgap.forwarding.stamps import Stamp
 
 STORE = 'store'
-"""Origin of facts that this instance has read itself."""
+"""Origin, in log lines, of facts that this instance has read itself."""
 
 
 def take_routes(directory, fact, now):
-    """Take :class:`~cornelgap.forwarding.facts.RoutesKnown`."""
+    """Apply :class:`~cornelgap.forwarding.facts.RoutesKnown`."""
     if fact.routes is None:
         directory.confirm_routes(fact.as_of)
         return False
@@ -30,12 +30,12 @@
 
 
 def take_drained(directory, fact, now):
-    """Take :class:`~cornelgap.forwarding.facts.ZonesDrained`."""
+    """Apply :class:`~cornelgap.forwarding.facts.ZonesDrained`."""
     return _adopt_drained(directory, fact.zones, fact.stamp, STORE, now)
 
 
 def take_list(directory, fact, now):
-    """Take :class:`~cornelgap.forwarding.facts.TargetsListed`."""
+    """Apply :class:`~cornelgap.forwarding.facts.TargetsListed`."""
     if fact.stamp < directory.targets_stamp:
         directory_log.log_refused(
             'targets', STORE, fact.stamp, directory.targets_stamp
@@ -47,10 +47,10 @@
 
 
 def take_changes(directory, fact, now):
-    """Take :class:`~cornelgap.forwarding.facts.TargetsChanged`."""
-    taken, refused = _split_changes(directory, fact)
+    """Apply :class:`~cornelgap.forwarding.facts.TargetsChanged`."""
+    accepted, refused = _split_changes(directory, fact)
     changed = directory.apply_targets(fact.changes, fact.stamp, fact.as_of, now)
-    directory_log.log_changes(taken, STORE)
+    directory_log.log_changes(accepted, STORE)
     for name, _, revision in refused:
         stamp = Stamp(fact.stamp.era, revision)
         directory_log.log_refused(
@@ -60,14 +60,14 @@
 
 
 def take_beat(directory, beat, changes, now):
-    """Take what a beat says of the directory.
+    """Apply what the beat of another instance says of the directory.
 
-    :param changes: the beat's changes of targets, loaded.
+    :param changes: the beat's changes of targets, decoded.
     :returns: set of :class:`~cornelgap.forwarding.news.News`.
     """
-    drained = directory.drained_zones
+    drained_before = directory.drained_zones
     news = compare_beat(directory, beat, changes, now)
-    if directory.drained_zones != drained:
+    if directory.drained_zones != drained_before:
         directory_log.log_drained(directory, beat.name)
     if News.CHANGED in news:
         directory_log.log_changes(changes, beat.name)
@@ -75,7 +75,7 @@
 
 
 def take_snapshot(directory, message, now):
-    """Take :class:`~cornelgap.forwarding.fetcher.SnapshotFetched`."""
+    """Apply :class:`~cornelgap.forwarding.fetcher.SnapshotFetched`."""
     snapshot = message.snapshot
     drained_changed = _adopt_drained(
         directory,
@@ -115,12 +115,15 @@
 
 
 def _split_changes(directory, fact):
-    """Split changes into those that are news and those that look older."""
-    taken = []
+    """Split changes into new ones and ones older than what is known.
+
+    :returns: tuple of two lists, new changes and refused ones.
+    """
+    accepted = []
     refused = []
     for change in fact.changes:
         name, _, revision = change
         stamp = Stamp(fact.stamp.era, revision)
         is_old = directory.knows_later(name, stamp)
-        (refused if is_old else taken).append(change)
-    return taken, refused
+        (refused if is_old else accepted).append(change)
+    return accepted, refused
