--- a/cornelgap/forwarding/news.py
+++ b/cornelgap/forwarding/news.py
@@ -1,15 +1,22 @@
-"""What another instance's beat means for the own directory.
+"""Update of the directory from the beats of other instances.
 
-A beat states stamps and ages, and small changes in full.  Equal stamps
-confirm what is known, changes that follow on it are applied, and whoever is
-further behind has to fetch a snapshot.
+A beat holds the stamps and ages of what its sender knows, and small changes
+in full.  Equal stamps confirm the own knowledge, changes that follow directly
+on it are applied, and an instance that is further behind has to fetch a
+snapshot.
 """
 
 import enum
 
 
 class News(enum.Enum):
-    """What a beat means for one kind of facts."""
+    """Effect of a beat on one kind of facts: routes, targets or drained zones.
+
+    NONE: the beat says nothing new of it, or its sender is behind.
+    CONFIRMED: what the directory holds is current as of the beat.
+    CHANGED: the directory has applied a change from the beat.
+    BEHIND: the directory lacks changes that the beat does not hold.
+    """
 
     NONE = 'none'
     CONFIRMED = 'confirmed'
@@ -18,12 +25,13 @@
 
 
 def compare_beat(directory, beat, changes, now):
-    """Take from a beat what it says of the directory.
+    """Apply to the directory what a beat confirms or changes.
 
     :param directory: :class:`~cornelgap.forwarding.directory.Directory`,
         which takes in confirmations and changes.
     :param beat: :class:`~cornelgap.forwarding.peer_messages.Beat`.
-    :param changes: the beat's changes of targets, loaded.
+    :param changes: the beat's changes of targets, decoded.
+    :param now: process clock seconds.
     :returns: set of :class:`News`, one for each kind of facts.
     """
     return {
@@ -45,7 +53,7 @@
 
 
 def compare_drained(directory, beat, now):
-    """Take the orders to drain zones, which each beat holds in full."""
+    """Apply the orders to drain zones, which each beat holds in full."""
     if not beat.drained_revision:
         return News.NONE
     changed = directory.adopt_drained(
