--- a/cornelgap/forwarding/lifetimes.py
+++ b/cornelgap/forwarding/lifetimes.py
@@ -1,14 +1,20 @@
-"""Which lifetimes of targets have ended, by two views of the directory."""
+"""Detection of targets that have restarted or ended.
+
+A lifetime of a target lasts from a start of it to its end.
+"""
 
 
 def list_reborn(before, view):
-    """Return the cookies of targets that have started again.
+    """Return the cookies of targets that have restarted.
 
-    A target may come back under its name, and holds nothing of before.
-    Judged by its last lifetime it would be avoided for seconds, or look
-    full.  Clocks differ, so another time of its start says enough.
+    A target may restart under its old name, and has lost all flows and
+    requests of before.  If what is known of its previous lifetime still
+    counted, it would be avoided for seconds or look full.  The clocks of
+    targets differ, so any other start time counts as a restart, an earlier
+    one too.
 
     :param before: the view that was in use until now.
+    :param view: the view that replaces it.
     """
     return [
         cookie
@@ -18,9 +24,11 @@
 
 
 def is_reborn(before, target):
-    """Say whether a target is another lifetime than one known before.
+    """Say whether a target has restarted since it was last known.
 
-    :param before: the target known before by its cookie, or None.
+    :param before: the target of the same cookie in the previous view, or
+        None.
+    :param target: the target in the new view.
     """
     if before is None or before.identity != target.identity:
         return False
@@ -28,9 +36,11 @@
 
 
 def is_gone(view, cookie):
-    """Say whether a target that is not in the directory has surely ended.
+    """Say whether a target that is not in the directory is known to be gone.
 
-    An instance that is new or behind does not know targets that others
-    know.  A reset would break an open flow, a guess would break two.
+    An instance that is new or behind lacks targets that others know, so a
+    missing entry alone proves nothing.  To reset a flow whose target still
+    runs would break an open flow; to guess another target for it would break
+    two.
     """
     return cookie in view.gone
