--- a/cornelgap/forwarding/facts.py
+++ b/cornelgap/forwarding/facts.py
@@ -1,4 +1,8 @@
-"""Messages about the directory, and the clock that ages are told by."""
+"""Messages that carry facts for the directory, and the process clock.
+
+Facts are the routes, the targets and the drained zones, as read from the
+store.  Their ages are measured by the process clock.
+"""
 
 import time
 
@@ -7,17 +11,18 @@
 from cornelgap.forwarding.stamps import ConfigStamp, Stamp
 
 WAKE_S = 0.75
-"""A turn of an actor that begins so long after the last one means that the
-process stood still: its tick is due every quarter of a second.  What lies
-in a socket then is old, and ages that it states are no longer true."""
+"""Seconds between two turns of an actor after which the process counts as
+having stood still, for an actor has a tick every quarter of a second.
+Datagrams in the socket are then old, and the ages that they state are no
+longer true."""
 
 
 class RoutesKnown(Struct, frozen=True):
-    """Message: the configuration as of some moment.
+    """Message: the configuration as of a point in time.
 
-    :param routes: list of routes; None if it is the one already known.
-    :param stamp: place in the store's history; None without routes.
-    :param as_of: time at which this was the newest, process clock seconds.
+    :param routes: list of routes; None if the known one is confirmed.
+    :param stamp: position in the store's history; None without routes.
+    :param as_of: time at which this was current, process clock seconds.
     :param warmups: :class:`~cornelgap.forwarding.directory_view.Warmup` by
         service.
     """
@@ -31,7 +36,9 @@
 class ZonesDrained(Struct, frozen=True):
     """Message: all zones that operators have ordered to be drained.
 
-    :param stamp: place in the store's history as of which these are all.
+    :param zones: names of these zones.
+    :param stamp: position in the store's history as of which the set is
+        complete.
     """
 
     zones: frozenset
@@ -39,10 +46,12 @@
 
 
 class TargetsListed(Struct, frozen=True):
-    """Message: all targets as of some moment.
+    """Message: all targets as of a point in time.
 
     :param targets: dict name -> (target, revision of its entry).
-    :param stamp: place in the store's history as of which these are all.
+    :param stamp: position in the store's history as of which the list is
+        complete.
+    :param as_of: as in :class:`RoutesKnown`.
     """
 
     targets: dict
@@ -51,10 +60,12 @@
 
 
 class TargetsChanged(Struct, frozen=True):
-    """Message: what has changed since the last message, perhaps nothing.
+    """Message: changes of targets since the previous message, maybe none.
 
-    :param changes: tuples (name, target or None, revision of its entry).
-    :param stamp: place in the store's history that is known with them.
+    :param changes: tuples (name, target, revision of its entry); the target
+        is None if it was removed.
+    :param stamp: position in the store's history that is reached with them.
+    :param as_of: as in :class:`RoutesKnown`.
     """
 
     changes: tuple
@@ -65,7 +76,7 @@
 def read_clock():
     """Return the process clock in seconds.
 
-    A suspended machine's monotonic clock stands still, and what the
-    process knew would look fresh when it wakes; this clock goes on.
+    It also advances while the machine is suspended.  The monotonic clock
+    does not, so old facts would look current after the machine resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
