--- a/cornelgap/forwarding/metric_page.py
+++ b/cornelgap/forwarding/metric_page.py
@@ -1,8 +1,8 @@
-"""The metrics of an instance that forwards flows.
+"""Metrics page of an instance that forwards flows.
 
-docs/METRICS.md lists them from :data:`CATALOGUE`.  The metrics library is
-imported when the page is first asked for: machines of 120 MB whose metrics
-nobody collects need not carry it.
+docs/METRICS.md lists the metrics from :data:`CATALOGUE`.  The metrics library
+is imported only when the page is first requested, which saves its memory on
+machines of 120 MB whose metrics nobody collects.
 """
 
 from cornelgap.core.errors import Code
@@ -121,11 +121,13 @@
 
 
 def make_samples(counts, gauges):
-    """Make samples of counters and gauges.
+    """Make samples from counters and gauges.
 
-    :param counts: counters by key, as the actors keep them.
-    :param gauges: values by the metric's name without its prefix; for
-        labelled ones a dict by label, or by a tuple of several.
+    :param counts: counters of the actors by key: a packet's reason, an error
+        code, or the name of a socket error.
+    :param gauges: values by metric name without the prefix; for a metric
+        with labels a dict by label value, or by a tuple of several.
+    :returns: list of samples.
     """
     samples = [_make_sample(key, value) for key, value in counts.items()]
     for name, value in gauges.items():
@@ -137,8 +139,9 @@
 
 
 def make_page(samples):
-    """Render samples.
+    """Render the metrics page.
 
+    :param samples: values from :func:`make_samples`.
     :returns: the page's bytes.
     """
     metrics = MetricSet(CATALOGUE)
