--- a/cornelgap/forwarding/__init__.py
+++ b/cornelgap/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarded services: packets carried to targets that answer directly."""
+"""Forwarding of packets to targets that answer their callers directly."""
