--- a/cornelgap/forwarding/lifetimes.py
+++ b/cornelgap/forwarding/lifetimes.py
@@ -1,4 +1,4 @@
-"""Detection of targets that have restarted or ended.
+"""Detection of restarted and ended targets in two views of the directory.
 
 A lifetime of a target lasts from a start of it to its end.
 """
@@ -40,7 +40,7 @@
 
     An instance that is new or behind lacks targets that others know, so a
     missing entry alone proves nothing.  To reset a flow whose target still
-    runs would break an open flow; to guess another target for it would break
-    two.
+    runs would break an open flow; to forward its packets to a guessed target
+    would break two flows.
     """
     return cookie in view.gone
