--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -50,7 +50,7 @@
 interval for its instance's report and half an interval for the report of the
 zone's hub, and twice that at most."""
 
-MOVING_COPY = 2
+FIRST_MOVED_COPY = 2
 """Number of the copy from which on a SYN is forwarded to another target.  If
 two targets answer, the caller may send the cookie of the one whose answer it
 did not accept; an instance that has not seen the SYN then forwards the data
@@ -297,7 +297,7 @@
                 return refusal
         early = is_early_copy(packet, known, now)
         tried = () if early else self._record_copy(packet, known, now)
-        if early or (tried and packet.ack < MOVING_COPY):
+        if early or (tried and packet.ack < FIRST_MOVED_COPY):
             target = self.view.by_cookie.get(known.cookie)
             if self._may_repeat_on(target, early, now):
                 return self._forward_opening(target, Reason.PLACED, now)
--- a/cornelgap/forwarding/flows.py
+++ b/cornelgap/forwarding/flows.py
@@ -12,12 +12,12 @@
 
 from msgspec import Struct
 
-ACTIVE_S = 5.0
+IDLE_AFTER_S = 5.0
 """Time without a packet after which a flow counts as idle.  Callers of long
 flows send about one request a second; a flow whose packets now pass through
 another instance is no longer counted here after this time."""
 
-KEPT_S = 30.0
+FORGET_IDLE_AFTER_S = 30.0
 """Time without a packet after which an idle flow is forgotten.  Targets close
 idle flows after some seconds, and callers do not reuse ports so soon."""
 
@@ -177,17 +177,17 @@
         return flow
 
     def expire(self, now):
-        """Remove inactive flows; keep open ones as idle for :data:`KEPT_S`."""
+        """Remove inactive flows; keep the open ones as idle for some time."""
         while self._flows:
             key, flow = next(iter(self._flows.items()))
-            if flow.seen_at >= now - ACTIVE_S:
+            if flow.seen_at >= now - IDLE_AFTER_S:
                 break
             self._remove(key)
             if flow.pinned and not flow.closed:
                 self._add_idle(key, flow)
         while self._idle:
             key, idle = next(iter(self._idle.items()))
-            if idle.seen_at >= now - KEPT_S:
+            if idle.seen_at >= now - FORGET_IDLE_AFTER_S:
                 break
             self._idle.pop(key)
 
--- a/cornelgap/forwarding/packet_checks.py
+++ b/cornelgap/forwarding/packet_checks.py
@@ -2,7 +2,7 @@
 
 from cornelgap.forwarding import packets as pkt
 
-REPEAT_S = 0.15
+MIN_REPEAT_DELAY_S = 0.15
 """Least time after a packet was forwarded before a repeat of it counts as
 evidence against the target.  Callers repeat after 0.2 s; packets that have
 waited in this instance's own socket are read together with their repeats,
@@ -40,7 +40,7 @@
     """
     if known is None or known.pinned or not packet.ack:
         return False
-    return now - known.seen_at < REPEAT_S
+    return now - known.seen_at < MIN_REPEAT_DELAY_S
 
 
 def is_repeat(packet, known, now):
@@ -50,7 +50,7 @@
     """
     if not packet.size or known.sent != packet.seq + packet.size:
         return False
-    return now - known.sent_at >= REPEAT_S
+    return now - known.sent_at >= MIN_REPEAT_DELAY_S
 
 
 def choose_cookie(packet, known):
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -282,7 +282,7 @@
 
 
 def count_backlog(patches):
-    patches.set_attr(packet_checks, 'REPEAT_S', 0)
+    patches.set_attr(packet_checks, 'MIN_REPEAT_DELAY_S', 0)
 
 
 def judge_at_once(patches):
@@ -290,7 +290,7 @@
 
 
 def move_first_copy(patches):
-    patches.set_attr(engine, 'MOVING_COPY', 1)
+    patches.set_attr(engine, 'FIRST_MOVED_COPY', 1)
 
 
 def know_one_lifetime(patches):
@@ -373,7 +373,7 @@
 
 
 def let_idle_flows_wait(patches):
-    patches.set_attr(flows, 'KEPT_S', 0)
+    patches.set_attr(flows, 'FORGET_IDLE_AFTER_S', 0)
 
 
 def reset_waiting_only(patches):
