--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -106,7 +106,7 @@
         """Use a newer view of the directory from the next packet on."""
         for cookie in list_reborn(self.view, view):
             self.judge.forget(cookie)
-            self.flows.end_target(cookie)
+            self.flows.close_flows(cookie)
             self._remote_flows.pop(cookie, None)
         if view.routes is not self.view.routes:
             self.admission.adopt_routes(view.routes)
@@ -144,7 +144,7 @@
             return []
         return [
             (key, Reset(acked, lost[cookie]))
-            for key, cookie, acked in self.flows.list_held(lost)
+            for key, cookie, acked in self.flows.list_open_flows(lost)
         ]
 
     def name_silent(self):
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -107,11 +107,11 @@
 
         A caller that closes while it waits has given up on the request.
         """
-        if known is None or known.closed or known.asked_ack is None:
+        if known is None or known.closed or known.request_ack is None:
             return
         if not closing and not is_next_request(packet, known):
             return
-        size = (packet.ack - known.asked_ack) & SEQUENCE_MASK
+        size = (packet.ack - known.request_ack) & SEQUENCE_MASK
         if size and known.waited_s is not None:
             self._on_answer(packet.flow, known, size)
         if not size or self._request_watch.note_size(packet.flow, size):
--- a/cornelgap/forwarding/flows.py
+++ b/cornelgap/forwarding/flows.py
@@ -39,7 +39,7 @@
     :param acked: the caller's last acknowledgement.
     :param repeats: number of times that the last data were repeated.
     :param waiting_since: when the unanswered request was sent; 0 if none.
-    :param asked_ack: the caller's acknowledgement when it sent its last
+    :param request_ack: the caller's acknowledgement when it sent its last
         request; None before the first.
     :param failed: whether its last request has been recorded as failed.
     :param prompt: whether the answer came about as fast as usual; None if
@@ -61,7 +61,7 @@
     acked: int = 0
     repeats: int = 0
     waiting_since: float = 0
-    asked_ack: int | None = None
+    request_ack: int | None = None
     failed: bool = False
     prompt: bool | None = None
     answered_at: float = 0
@@ -128,7 +128,7 @@
             if load.flows
         }
 
-    def list_held(self, cookies):
+    def list_open_flows(self, cookies):
         """Return (key, cookie, last acknowledgement) of targets' open flows."""
         open_flows = chain(
             (
@@ -191,7 +191,7 @@
                 break
             self._idle.pop(key)
 
-    def end_target(self, cookie):
+    def close_flows(self, cookie):
         """Close all flows of a target that has restarted.
 
         Its flows ended with its previous lifetime.  If they were still
@@ -245,7 +245,7 @@
             flow.sent_at = now
             if not flow.waiting_since and not flow.closed:
                 flow.waiting_since = now
-                flow.asked_ack = packet.ack
+                flow.request_ack = packet.ack
                 flow.failed = False
                 flow.prompt = None
                 flow.waited_s = None
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -377,14 +377,14 @@
 
 
 def reset_waiting_only(patches):
-    def list_held(self, cookies):
+    def list_open_flows(self, cookies):
         return [
             (key, flow.cookie, flow.acked)
             for key, flow in self._flows.items()
             if flow.waiting_since and flow.cookie in cookies
         ]
 
-    patches.set_attr(flows.FlowTable, 'list_held', list_held)
+    patches.set_attr(flows.FlowTable, 'list_open_flows', list_open_flows)
 
 
 def trust_own_way(patches):
