--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -147,15 +147,15 @@
             for key, cookie, acked in self.flows.list_open_flows(lost)
         ]
 
-    def name_silent(self):
+    def list_silent_names(self):
         """Return the names of the targets found silent last, sorted."""
-        return self._name_targets(self.judge.silent)
+        return self._list_names(self.judge.silent)
 
-    def name_outliers(self, now):
+    def list_outlier_names(self, now):
         """Return the names of targets that fail more than their peers do."""
-        return self._name_targets(self.judge.list_outliers(now))
+        return self._list_names(self.judge.list_outliers(now))
 
-    def read_age(self, now):
+    def compute_directory_age(self, now):
         """Return the age of the directory in seconds, rounded for logs."""
         return round(now - self.fresh_until + MAX_DIRECTORY_AGE_S, 3)
 
@@ -274,7 +274,7 @@
     def _is_answering(self, cookie, now):
         return now - self.flows.get_load(cookie).answered_at < RECENT_ANSWER_S
 
-    def _name_targets(self, cookies):
+    def _list_names(self, cookies):
         found = map(self.view.by_cookie.get, cookies)
         return sorted(target.name for target in found if target is not None)
 
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -295,14 +295,14 @@
 
     def _log_assessment_changes(self):
         """Log targets, zones and the path if their assessment has changed."""
-        silent = self._engine.name_silent()
+        silent = self._engine.list_silent_names()
         if silent != self._silent_targets:
             _LOG.info(
                 'forwarding: targets given up',
                 extra={'silent': silent, 'before': self._silent_targets},
             )
             self._silent_targets = silent
-        outliers = self._engine.name_outliers(self._turn_at)
+        outliers = self._engine.list_outlier_names(self._turn_at)
         if outliers != self._outlier_targets:
             _LOG.info(
                 'forwarding: targets fail more than their peers',
@@ -387,7 +387,7 @@
                 'target': target.name if target else None,
                 'service': target.service if target else None,
                 'zone': target.zone if target else None,
-                'age_s': self._engine.read_age(self._turn_at),
+                'age_s': self._engine.compute_directory_age(self._turn_at),
             },
         )
 
--- a/features/proofs/lost_flow_stories.py
+++ b/features/proofs/lost_flow_stories.py
@@ -104,7 +104,7 @@
                 caller = CALLERS[1 + number]
                 desks[number % 10].send(caller, CRASHED, ack=500, size=100)
         tell_evidence(desks)
-    late = sum(not desk.engine.name_silent() for desk in desks)
+    late = sum(not desk.engine.list_silent_names() for desk in desks)
     return [f'{late} of 10 instances still trust the target'] if late else []
 
 
--- a/features/proofs/path_loss_stories.py
+++ b/features/proofs/path_loss_stories.py
@@ -209,7 +209,7 @@
         desk.send(42001 + number, crashed, ack=1)
     for _ in range(int(LAPSES_S / STEP_S)):
         way.run_step()
-        if crashed.name in desk.engine.name_silent():
+        if crashed.name in desk.engine.list_silent_names():
             return []
     return ['a crashed target is trusted until its registration lapses']
 
