--- a/bench/forwarding.py
+++ b/bench/forwarding.py
@@ -46,7 +46,7 @@
     directory.adopt_targets(listed, Stamp(revision=1), 0, 0)
     engine = Engine('a', random.Random(1))
     engine.adopt_view(directory.make_view(0))
-    engine.note_fresh(0)
+    engine.note_directory_fresh(0)
     return engine
 
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -117,13 +117,13 @@
         self._evidence.keep_routes(view.routes.keys())
         self.flows.keep_loads(view.by_cookie.keys())
 
-    def note_fresh(self, as_of):
+    def note_directory_fresh(self, as_of):
         """Record a time at which the directory was known to be current."""
         self.fresh_until = max(self.fresh_until, as_of + MAX_DIRECTORY_AGE_S)
         if as_of >= self._distrusted_at:
             self._distrusted_at = float('-inf')
 
-    def reset_lost(self, now):
+    def take_lost_flows(self, now):
         """Return tuples (flow key, :class:`Reset`) of flows just lost.
 
         The flows of a target that has just stopped answering or ended are
@@ -208,7 +208,7 @@
         """Record requests that have waited too long as failed."""
         self._evidence.note_overdue(now)
 
-    def distrust(self, now):
+    def distrust_directory(self, now):
         """Place no new flow until the directory is confirmed anew.
 
         After a stall of the process its directory may be outdated: a target
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -227,13 +227,13 @@
             extra={'for_s': round(now - self._turn_at, 3)},
         )
         self._has_stale_packets = True
-        self._engine.distrust(now)
+        self._engine.distrust_directory(now)
 
     def _adopt_view(self, message):
         if message.view is not None:
             self._engine.adopt_view(message.view)
             self._reset_lost_flows()
-        self._engine.note_fresh(message.as_of)
+        self._engine.note_directory_fresh(message.as_of)
         if not self._reading:
             self._start_reading()
         if self._pending_openings and self._engine.view.routes_known:
@@ -276,7 +276,7 @@
             self._reset_lost_flows()
 
     def _reset_lost_flows(self):
-        resets = self._engine.reset_lost(self._turn_at)
+        resets = self._engine.take_lost_flows(self._turn_at)
         self._log_assessment_changes()
         for key, reset in resets:
             self.counts[reset.reason] += 1
--- a/features/proofs/forwarding_desk.py
+++ b/features/proofs/forwarding_desk.py
@@ -130,7 +130,7 @@
         if self.directory.complete:
             self.engine.adopt_view(self.directory.make_view(self.now))
             age = self.directory.compute_age(self.now)
-            self.engine.note_fresh(self.now - age)
+            self.engine.note_directory_fresh(self.now - age)
 
     def pass_time(self, seconds):
         """Let time pass; the store is silent meanwhile."""
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -68,7 +68,9 @@
 
 
 def trust_after_standstill(patches):
-    patches.set_attr(engine.Engine, 'distrust', lambda self, now: None)
+    patches.set_attr(
+        engine.Engine, 'distrust_directory', lambda self, now: None
+    )
 
 
 def open_on_draining(patches):
--- a/features/proofs/forwarding_stories.py
+++ b/features/proofs/forwarding_stories.py
@@ -147,7 +147,7 @@
     """An instance is suspended, and a target begins to drain meanwhile."""
     desk = start_desk(SEARCH[0])
     desk.pass_time(4)
-    desk.engine.distrust(desk.now)
+    desk.engine.distrust_directory(desk.now)
     found = []
     if desk.open(40001) is not None:
         found.append('a flow was placed on a belief from before')
--- a/features/proofs/lost_flow_stories.py
+++ b/features/proofs/lost_flow_stories.py
@@ -39,7 +39,7 @@
 
 def list_reset(desk):
     """Return the callers whose flows are reset now."""
-    return {key[1] for key, _ in desk.engine.reset_lost(desk.now)}
+    return {key[1] for key, _ in desk.engine.take_lost_flows(desk.now)}
 
 
 def pass_lapse(desk):
--- a/features/proofs/path_loss_stories.py
+++ b/features/proofs/path_loss_stories.py
@@ -151,7 +151,7 @@
         desk.pass_time(wait)
         for caller in range(41001, 41009):
             desk.open(caller, copy=copy)
-        if desk.engine.reset_lost(desk.now):
+        if desk.engine.take_lost_flows(desk.now):
             found.append('flows of a full target were reset')
     return found
 
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -72,7 +72,7 @@
     desk, flows = start_two_zones()
     desk.pass_time(1)
     repeat_twice(desk, flows, list(flows)[:4])
-    reset = {key[1] for key, _ in desk.engine.reset_lost(desk.now)}
+    reset = {key[1] for key, _ in desk.engine.take_lost_flows(desk.now)}
     # Of the two flows on each target one has asked, the other is idle.  The
     # first target was silent before anything spoke against its zone.
     left = [
@@ -93,7 +93,7 @@
         desk.send(caller, target, ack=2)
     repeat_twice(desk, flows, list(flows)[:4])
     desk.pass_time(1)
-    if desk.engine.reset_lost(desk.now):
+    if desk.engine.take_lost_flows(desk.now):
         return ['flows of live targets were reset']
     return []
 
--- a/features/steps/forwarding_property_steps.py
+++ b/features/steps/forwarding_property_steps.py
@@ -376,7 +376,7 @@
                 desk.change('i-00000002', make_target(4, draining=True))
             effect = desk.put(packet)
             assert isinstance(effect, (Forward, Reset, Drop))
-            desk.engine.reset_lost(desk.now)
+            desk.engine.take_lost_flows(desk.now)
             for load in desk.engine.flows.loads.values():
                 assert load.flows >= 0
                 assert 0 <= load.waiting <= load.flows
