--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -22,13 +22,13 @@
 from cornelgap.forwarding.flow_evidence import FlowEvidence
 from cornelgap.forwarding.flows import FlowTable
 from cornelgap.forwarding.lifetimes import is_gone, list_reborn
-from cornelgap.forwarding.openings import Openings
+from cornelgap.forwarding.openings import OpeningTracker
 from cornelgap.forwarding.packet_checks import (
     choose_cookie,
     is_early_copy,
     is_from_target,
     order_services,
-    was_passed_on,
+    was_forwarded,
 )
 from cornelgap.forwarding.packets import Drop, Forward, Reason, Reset
 from cornelgap.forwarding.target_judge import TargetJudge
@@ -96,7 +96,7 @@
         self._opens_this_second = 0
         self._newly_gone = set()
         self.judge = TargetJudge()
-        self.openings = Openings(zone, self.judge)
+        self.openings = OpeningTracker(zone, self.judge)
         self.admission = AdmissionControl(rng)
         self._evidence = FlowEvidence(
             self.flows, self.judge, self._record_answer_size
@@ -290,7 +290,7 @@
                 return Drop(Reason.NOT_FRESH)
             return Reset(packet.ack, Reason.NO_ROUTE)
         known = self.flows.find(packet.flow)
-        if not was_passed_on(known):
+        if not was_forwarded(known):
             name = order_services(route, packet)[0]
             refusal = self.admission.judge_opening(name, route, packet, now)
             if refusal is not None:
@@ -380,7 +380,9 @@
         pools = (
             self._select_trusted(targets, avoided, now) for targets in listed
         )
-        targets = select_pool(pools, self._list_last(first, chosen, avoided))
+        targets = select_pool(
+            pools, self._list_last_resort(first, chosen, avoided)
+        )
         # A target that did not answer two copies is full or unreachable; the
         # next copy goes to another target while the caller still waits.
         untried = [item for item in targets if item.cookie not in tried]
@@ -391,7 +393,7 @@
             candidates, self._estimate_unreported_flows(now), self._rng
         )
 
-    def _list_last(self, service, targets, avoided):
+    def _list_last_resort(self, service, targets, avoided):
         """Return the targets to choose from if none is trusted.
 
         If an operator has drained the reachable zones, the remaining targets
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -16,7 +16,7 @@
 )
 
 
-class Openings:
+class OpeningTracker:
     """Records openings, and decides which ones to drop.
 
     :param zone: this instance's availability zone.
@@ -36,7 +36,7 @@
     def note_placed(self, view, route, target, now):
         """Record that an opening was forwarded to a target."""
         away = self._judge.is_away(target.zone)
-        beyond = self.find_beyond(view, route) if away else ()
+        beyond = self.find_zones_beyond_cut(view, route) if away else ()
         self._recent.append((now, beyond, route))
 
     def note_refused(self, view, route, now):
@@ -46,13 +46,13 @@
             next copies reach an instance of another zone, while resets
             would use up its attempts.
         """
-        beyond = self.find_beyond(view, route)
+        beyond = self.find_zones_beyond_cut(view, route)
         if not beyond:
             return False
         self._recent.append((now, beyond, route))
         return now < self._drops_until
 
-    def find_beyond(self, view, route):
+    def find_zones_beyond_cut(self, view, route):
         """Return the other zones with targets, if no target is reachable.
 
         :returns: frozenset; empty if a target is reachable, or if no other
--- a/cornelgap/forwarding/packet_checks.py
+++ b/cornelgap/forwarding/packet_checks.py
@@ -18,7 +18,7 @@
     return bool(packet.flags & (pkt.ACK | pkt.RST | pkt.FIN))
 
 
-def was_passed_on(known):
+def was_forwarded(known):
     """Check whether a SYN of the flow was forwarded to a target before.
 
     The target may have opened the flow and run its request, so that a reset,
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -336,7 +336,7 @@
 def wait_beyond_cuts(patches):
     patches.set_attr(
         engine.Engine,
-        '_list_last',
+        '_list_last_resort',
         lambda self, service, targets, avoided: targets,
     )
 
@@ -484,7 +484,7 @@
 
 
 def refuse_passed_on(patches):
-    patches.replace_function(packet_checks.was_passed_on, lambda known: False)
+    patches.replace_function(packet_checks.was_forwarded, lambda known: False)
 
 
 LIST = (
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -54,7 +54,9 @@
         withdrawal.list_usable_zones, lambda beyond, other_zones: frozenset('a')
     )
     patches.set_attr(
-        openings.Openings, 'find_beyond', lambda self, view, route: {'a'}
+        openings.OpeningTracker,
+        'find_zones_beyond_cut',
+        lambda self, view, route: {'a'},
     )
 
 
