--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -42,7 +42,7 @@
     ZoneMembers,
 )
 from cornelgap.forwarding.reports import Reports
-from cornelgap.forwarding.sockets import drop_waiting, open_socket
+from cornelgap.forwarding.sockets import discard_waiting, open_socket
 from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
@@ -195,7 +195,7 @@
         """
         now = read_clock()
         if now - self._received_at > WAKE_S:
-            drop_waiting(self._sock)
+            discard_waiting(self._sock)
         self._received_at = now
         return super().on_receive(message)
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -159,17 +159,17 @@
         """Return the age of the directory in seconds, rounded for logs."""
         return round(now - self.fresh_until + MAX_DIRECTORY_AGE_S, 3)
 
-    def note_others(self, loads, instances, pause_s, rank=0):
+    def note_other_instances(self, loads, instances, report_interval_s, rank=0):
         """Adopt what the other instances of the zone have reported.
 
         :param loads: number of their flows by cookie.
         :param instances: number of instances of the zone, this one included.
-        :param pause_s: seconds between two reports.
+        :param report_interval_s: seconds between two reports.
         :param rank: how many of these instances precede this one.
         """
         self._remote_flows = loads
         self._instances = instances
-        self._report_age_s = pause_s * REPORT_AGE_INTERVALS
+        self._report_age_s = report_interval_s * REPORT_AGE_INTERVALS
         self.judge.set_instances(instances, rank)
 
     def set_cold_limit(self, limit):
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -12,7 +12,7 @@
 from cornelgap.core.errors import CodedError
 from cornelgap.forwarding.facts import WAKE_S, read_clock
 from cornelgap.forwarding.packets import SYN, Drop, Forward, Reason, Reset
-from cornelgap.forwarding.sockets import drop_waiting
+from cornelgap.forwarding.sockets import discard_waiting
 from cornelgap.forwarding.zone_standing import DropOpenings
 from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
 from cornelgap.kernel.named_actor import NamedActor
@@ -101,13 +101,13 @@
 
     :param loads: number of flows by target cookie.
     :param instances: number of instances of this zone, this one included.
-    :param pause_s: seconds between two load reports.
+    :param report_interval_s: seconds between two load reports.
     :param rank: how many of these instances precede this one.
     """
 
     loads: dict
     instances: int
-    pause_s: float
+    report_interval_s: float
     rank: int = 0
 
 
@@ -258,7 +258,7 @@
         self._reading = True
         waited_s = self._turn_at - self._started_at
         if waited_s > HELD_S:
-            self.counts[Reason.NOT_FRESH] += drop_waiting(self._sock)
+            self.counts[Reason.NOT_FRESH] += discard_waiting(self._sock)
         _LOG.info(
             'forwarding: packets are read',
             extra={'waited_s': round(waited_s, 3)},
@@ -427,8 +427,11 @@
         self._engine.openings.drop_until(self._turn_at + message.for_s)
 
     def _note_others_load(self, message):
-        self._engine.note_others(
-            message.loads, message.instances, message.pause_s, message.rank
+        self._engine.note_other_instances(
+            message.loads,
+            message.instances,
+            message.report_interval_s,
+            message.rank,
         )
 
     def _tick(self, _message):
--- a/cornelgap/forwarding/sockets.py
+++ b/cornelgap/forwarding/sockets.py
@@ -23,7 +23,7 @@
     return sock
 
 
-def drop_waiting(sock):
+def discard_waiting(sock):
     """Discard the datagrams that wait to be read.
 
     :returns: the number of discarded datagrams.
--- a/features/proofs/cold_stories.py
+++ b/features/proofs/cold_stories.py
@@ -104,7 +104,9 @@
         desk = Desk(number, zone, f'n{number}', limit)
         desk.set_routes(make_route('search'), warmups=WARMUPS)
         desk.set_targets(*targets)
-        desk.engine.note_others({}, INSTANCES, pause_s=1, rank=number)
+        desk.engine.note_other_instances(
+            {}, INSTANCES, report_interval_s=1, rank=number
+        )
         desk.engine.note_members(NAMES)
         desks.append(desk)
     return desks
@@ -148,7 +150,7 @@
     desks = start_desks([cold, *warm])
     for desk in desks:
         loads = {target.cookie: 60 for target in warm}
-        desk.engine.note_others(loads, INSTANCES, pause_s=1)
+        desk.engine.note_other_instances(loads, INSTANCES, report_interval_s=1)
     taken, _ = open_on_all(desks, 1)
     if taken[cold.name]:
         return [f'instances that do not own it sent {taken[cold.name]} flows']
--- a/features/proofs/forwarding_stories.py
+++ b/features/proofs/forwarding_stories.py
@@ -279,7 +279,9 @@
         desk = Desk(seed=instance)
         desk.set_routes(make_route('search'), make_route('archive', port=80))
         desk.set_targets(*targets, archive)
-        desk.engine.note_others(loads, instances=40, pause_s=0.5)
+        desk.engine.note_other_instances(
+            loads, instances=40, report_interval_s=0.5
+        )
         for number in range(12):
             # Some seconds of flows, so that the engine knows its own rate.
             desk.pass_time(0.25)
@@ -308,7 +310,9 @@
         desk = Desk(seed=instance, zone=zones[instance % len(zones)])
         desk.set_routes(make_route('search'), make_route('archive', port=80))
         desk.set_targets(*targets, added, make_target(98, 'archive'))
-        desk.engine.note_others(loads, instances=16, pause_s=1)
+        desk.engine.note_other_instances(
+            loads, instances=16, report_interval_s=1
+        )
         # Some seconds of flows, so that the engine knows its own rate.
         for number in range(18):
             desk.pass_time(1 / 3)
--- a/features/proofs/grey_world.py
+++ b/features/proofs/grey_world.py
@@ -94,7 +94,9 @@
         desk = Desk(seed=number)
         desk.set_routes(make_route('search'))
         desk.set_targets(*self.targets)
-        desk.engine.note_others({}, INSTANCES, pause_s=0.5, rank=number)
+        desk.engine.note_other_instances(
+            {}, INSTANCES, report_interval_s=0.5, rank=number
+        )
         return desk
 
     def _at(self, wait, call, *args):
--- a/features/proofs/lost_flow_stories.py
+++ b/features/proofs/lost_flow_stories.py
@@ -91,7 +91,9 @@
     """
     desks = [start_desk() for _ in range(10)]
     for rank, desk in enumerate(desks):
-        desk.engine.note_others({}, len(desks), pause_s=1, rank=rank)
+        desk.engine.note_other_instances(
+            {}, len(desks), report_interval_s=1, rank=rank
+        )
         desk.pass_time(2)
         desk.send(CALLERS[0], CRASHED, ack=600)
     sent = [(0.11 * number, number) for number in range(1, 12)]
--- a/features/proofs/overload_world.py
+++ b/features/proofs/overload_world.py
@@ -320,4 +320,6 @@
         total = sum(counts, Counter())
         for number, desk in enumerate(self.desks):
             others = total - counts[number]
-            desk.engine.note_others(others, self._instances, 0.25, number)
+            desk.engine.note_other_instances(
+                others, self._instances, 0.25, number
+            )
--- a/features/proofs/path_loss_stories.py
+++ b/features/proofs/path_loss_stories.py
@@ -126,7 +126,9 @@
     idle = SlowWay(keep_prompt, seed=4)
     ways.append(idle)
     for rank, way in enumerate(ways):
-        way.desk.engine.note_others({}, len(ways), pause_s=1, rank=rank)
+        way.desk.engine.note_other_instances(
+            {}, len(ways), report_interval_s=1, rank=rank
+        )
     idle._events = idle._events[:FLOWS]
     for _ in range(int(ENDS_S / STEP_S)):
         for way in ways:
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -323,7 +323,7 @@
         if node.standing.list_lost_hosts(self.now) and not self.cut:
             self.met_at = self.now
         rank = near.compute_rank()
-        node.engine.note_others({}, near.count_zone(), 0.5, rank)
+        node.engine.note_other_instances({}, near.count_zone(), 0.5, rank)
         node.engine.expire(self.now)
         evidence = node.engine.judge.take_evidence()
         if evidence:
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -45,7 +45,9 @@
     :param rank: how many of them precede this one.
     """
     loads = {target.cookie: 60 for target in NEAR}
-    desk.engine.note_others(loads, instances, pause_s=0.5, rank=rank)
+    desk.engine.note_other_instances(
+        loads, instances, report_interval_s=0.5, rank=rank
+    )
 
 
 def repeat_twice(desk, flows, callers):
@@ -192,7 +194,7 @@
     loads.update(dict.fromkeys(far, 0))
     loads.update(hub.sum_others({}, 110))
     desk, _ = start_two_zones()
-    desk.engine.note_others(loads, instances=1, pause_s=0.5)
+    desk.engine.note_other_instances(loads, instances=1, report_interval_s=0.5)
     opened = [desk.open(caller) for caller in range(50000, 50040)]
     rushed = sum(target.zone == 'b' for target in opened)
     return [f'{rushed} flows rush to the zone'] if rushed > 5 else []
