--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -143,8 +143,8 @@
         if not lost:
             return []
         return [
-            (key, Reset(acked, lost[cookie]))
-            for key, cookie, acked in self.flows.list_open_flows(lost)
+            (key, Reset(last_ack, lost[cookie]))
+            for key, cookie, last_ack in self.flows.list_open_flows(lost)
         ]
 
     def list_silent_names(self):
@@ -364,7 +364,7 @@
 
     def _record_copy(self, packet, known, now):
         """Record a copy of a SYN; return the cookies that did not answer."""
-        if known is None or known.pinned or not packet.ack:
+        if known is None or known.established or not packet.ack:
             return ()
         target = self.view.by_cookie.get(known.cookie)
         self._evidence.note_copy(packet, known, target, packet.ack > 1, now)
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -63,7 +63,7 @@
         # The first packet seen of a flow is no evidence: whatever it
         # acknowledges may have been answered long ago.
         if known is not None:
-            if known.acked != packet.ack or not known.pinned:
+            if known.last_ack != packet.ack or not known.established:
                 self._note_answer(cookie, target, packet, known, now)
             elif is_repeat(packet, known, now):
                 known.repeats += 1
@@ -139,6 +139,6 @@
 
     :param known: the flow as recorded here.
     """
-    if not packet.size or known.sent == packet.seq + packet.size:
+    if not packet.size or known.next_seq == packet.seq + packet.size:
         return False
-    return not known.waiting_since or known.acked != packet.ack
+    return not known.waiting_since or known.last_ack != packet.ack
--- a/cornelgap/forwarding/flows.py
+++ b/cornelgap/forwarding/flows.py
@@ -33,10 +33,10 @@
     :param cookie: target on which the flow is open, or to which its last SYN
         was forwarded.
     :param tried: cookies of the targets that got its earlier SYNs.
-    :param pinned: whether the caller has acknowledged a target's SYN+ACK.
-    :param sent: next sequence number after the caller's last data.
+    :param established: whether the caller has acknowledged a target's SYN+ACK.
+    :param next_seq: next sequence number after the caller's last data.
     :param sent_at: when data were last forwarded.
-    :param acked: the caller's last acknowledgement.
+    :param last_ack: the caller's last acknowledgement.
     :param repeats: number of times that the last data were repeated.
     :param waiting_since: when the unanswered request was sent; 0 if none.
     :param request_ack: the caller's acknowledgement when it sent its last
@@ -55,10 +55,10 @@
     opened_at: float
     seen_at: float
     tried: tuple = ()
-    pinned: bool = False
-    sent: int = 0
+    established: bool = False
+    next_seq: int = 0
     sent_at: float = 0
-    acked: int = 0
+    last_ack: int = 0
     repeats: int = 0
     waiting_since: float = 0
     request_ack: int | None = None
@@ -72,11 +72,11 @@
 class IdleFlow(Struct, frozen=True):
     """What is kept of an open flow without recent packets.
 
-    :param acked: the caller's last acknowledgement.
+    :param last_ack: the caller's last acknowledgement.
     """
 
     cookie: int
-    acked: int
+    last_ack: int
     seen_at: float
 
 
@@ -134,12 +134,12 @@
             (
                 (key, flow)
                 for key, flow in self._flows.items()
-                if flow.pinned and not flow.closed
+                if flow.established and not flow.closed
             ),
             self._idle.items(),
         )
         return [
-            (key, flow.cookie, flow.acked)
+            (key, flow.cookie, flow.last_ack)
             for key, flow in open_flows
             if flow.cookie in cookies
         ]
@@ -164,12 +164,12 @@
         flow = self._flows.get(key)
         if flow is None:
             flow = self._add(key, cookie, now)
-            flow.acked = packet.ack
-            flow.pinned = True
-        elif not flow.pinned and flow.cookie != cookie:
+            flow.last_ack = packet.ack
+            flow.established = True
+        elif not flow.established and flow.cookie != cookie:
             self._move_load(flow, cookie)
         self._record_progress(flow, packet, now)
-        flow.pinned = True
+        flow.established = True
         self._mark_seen(key, flow, now)
         if closing and not flow.closed:
             self._release_load(flow)
@@ -183,7 +183,7 @@
             if flow.seen_at >= now - IDLE_AFTER_S:
                 break
             self._remove(key)
-            if flow.pinned and not flow.closed:
+            if flow.established and not flow.closed:
                 self._add_idle(key, flow)
         while self._idle:
             key, idle = next(iter(self._idle.items()))
@@ -226,7 +226,7 @@
     def _add_idle(self, key, flow):
         if len(self._idle) >= MAX_FLOWS:
             self._idle.popitem(last=False)
-        self._idle[key] = IdleFlow(flow.cookie, flow.acked, flow.seen_at)
+        self._idle[key] = IdleFlow(flow.cookie, flow.last_ack, flow.seen_at)
 
     def _mark_seen(self, key, flow, now):
         flow.seen_at = now
@@ -234,14 +234,14 @@
 
     def _record_progress(self, flow, packet, now):
         load = self.get_load(flow.cookie)
-        if flow.acked != packet.ack or not flow.pinned:
-            flow.acked = packet.ack
+        if flow.last_ack != packet.ack or not flow.established:
+            flow.last_ack = packet.ack
             load.answered_at = now
             self._end_wait(flow, load)
         if packet.size:
-            if flow.sent != packet.seq + packet.size:
+            if flow.next_seq != packet.seq + packet.size:
                 flow.repeats = 0
-            flow.sent = packet.seq + packet.size
+            flow.next_seq = packet.seq + packet.size
             flow.sent_at = now
             if not flow.waiting_since and not flow.closed:
                 flow.waiting_since = now
--- a/cornelgap/forwarding/packet_checks.py
+++ b/cornelgap/forwarding/packet_checks.py
@@ -38,7 +38,7 @@
 
     :param known: the flow as seen here, or None.
     """
-    if known is None or known.pinned or not packet.ack:
+    if known is None or known.established or not packet.ack:
         return False
     return now - known.seen_at < MIN_REPEAT_DELAY_S
 
@@ -48,7 +48,7 @@
 
     :param known: the flow as seen here.
     """
-    if not packet.size or known.sent != packet.seq + packet.size:
+    if not packet.size or known.next_seq != packet.seq + packet.size:
         return False
     return now - known.sent_at >= MIN_REPEAT_DELAY_S
 
@@ -63,7 +63,7 @@
 
     :param known: the flow as seen here, or None.
     """
-    if known is not None and known.pinned:
+    if known is not None and known.established:
         return known.cookie
     return packet.cookie
 
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -381,7 +381,7 @@
 def reset_waiting_only(patches):
     def list_open_flows(self, cookies):
         return [
-            (key, flow.cookie, flow.acked)
+            (key, flow.cookie, flow.last_ack)
             for key, flow in self._flows.items()
             if flow.waiting_since and flow.cookie in cookies
         ]
