--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -31,7 +31,7 @@
     was_forwarded,
 )
 from cornelgap.forwarding.packets import Drop, Forward, Reason, Reset
-from cornelgap.forwarding.target_judge import TargetJudge
+from cornelgap.forwarding.target_judge import FailureDetector
 
 MAX_DIRECTORY_AGE_S = 3.0
 """Greatest age of the directory at which a route or target that it lacks is
@@ -95,24 +95,24 @@
         self._current_second = 0
         self._opens_this_second = 0
         self._newly_gone = set()
-        self.judge = TargetJudge()
-        self.openings = OpeningTracker(zone, self.judge)
+        self.failure_detector = FailureDetector()
+        self.openings = OpeningTracker(zone, self.failure_detector)
         self.admission = AdmissionControl(rng)
         self._evidence = FlowEvidence(
-            self.flows, self.judge, self._record_answer_size
+            self.flows, self.failure_detector, self._record_answer_size
         )
 
     def adopt_view(self, view):
         """Use a newer view of the directory from the next packet on."""
         for cookie in list_reborn(self.view, view):
-            self.judge.forget(cookie)
+            self.failure_detector.forget(cookie)
             self.flows.close_flows(cookie)
             self._remote_flows.pop(cookie, None)
         if view.routes is not self.view.routes:
             self.admission.adopt_routes(view.routes)
         self._newly_gone |= view.gone.keys() - self.view.gone.keys()
         self.view = view
-        self.judge.keep(view.by_cookie.keys())
+        self.failure_detector.keep(view.by_cookie.keys())
         self._cold_starts.keep(view.by_cookie.keys())
         self._evidence.keep_routes(view.routes.keys())
         self.flows.keep_loads(view.by_cookie.keys())
@@ -132,7 +132,7 @@
         request to a dead target; a request that must not run twice would
         then be lost, since it cannot be sent again.
         """
-        silent = self.judge.find_fresh_silent(self.flows.loads, now)
+        silent = self.failure_detector.find_fresh_silent(self.flows.loads, now)
         gone, self._newly_gone = self._newly_gone, set()
         lost = {cookie: Reason.TARGET_SILENT for cookie in silent}
         lost.update(
@@ -149,11 +149,11 @@
 
     def list_silent_names(self):
         """Return the names of the targets found silent last, sorted."""
-        return self._list_names(self.judge.silent)
+        return self._list_names(self.failure_detector.silent)
 
     def list_outlier_names(self, now):
         """Return the names of targets that fail more than their peers do."""
-        return self._list_names(self.judge.list_outliers(now))
+        return self._list_names(self.failure_detector.list_outliers(now))
 
     def compute_directory_age(self, now):
         """Return the age of the directory in seconds, rounded for logs."""
@@ -170,7 +170,7 @@
         self._remote_flows = loads
         self._instances = instances
         self._report_age_s = report_interval_s * REPORT_AGE_INTERVALS
-        self.judge.set_instances(instances, rank)
+        self.failure_detector.set_instances(instances, rank)
 
     def set_cold_limit(self, limit):
         """Replace the limit on new flows to cold targets.
@@ -192,7 +192,7 @@
             that instance, of targets that have repeats there but answer
             here.
         """
-        return self.judge.note_evidence(
+        return self.failure_detector.note_evidence(
             self.view.by_cookie, instance, evidence, now
         )
 
@@ -202,7 +202,9 @@
         :param outcomes: by cookie,
             :class:`~cornelgap.decisions.target_outliers.Outcomes`.
         """
-        self.judge.note_zone_outcomes(self.view.by_service, outcomes, now)
+        self.failure_detector.note_zone_outcomes(
+            self.view.by_service, outcomes, now
+        )
 
     def note_overdue(self, now):
         """Record requests that have waited too long as failed."""
@@ -218,7 +220,7 @@
         :param now: only a confirmation as of this time or later counts.
         """
         self._distrusted_at = now
-        self.judge.clear()
+        self.failure_detector.clear()
         self.admission.clear()
         self._evidence.clear()
 
@@ -229,7 +231,7 @@
             long.
         :returns: :class:`Forward`, :class:`Reset` or :class:`Drop`.
         """
-        self.judge.note_packet(now)
+        self.failure_detector.note_packet(now)
         if not packet.flags & pkt.SYN:
             return self._handle_open_flow(packet, now)
         if is_from_target(packet):
@@ -257,7 +259,7 @@
         :returns: list of changes to log, a :class:`dict` of fields each.
         """
         changes = self.admission.step(now)
-        self.judge.overloaded = self.admission.limited
+        self.failure_detector.overloaded = self.admission.limited
         return changes
 
     def expire(self, now):
@@ -349,9 +351,9 @@
             return False
         if early:
             return True
-        if self.judge.is_away(target.zone):
+        if self.failure_detector.is_away(target.zone):
             return False
-        return not self.judge.is_avoided(target.cookie, now)
+        return not self.failure_detector.is_avoided(target.cookie, now)
 
     def _has_room(self, target, now):
         """Check whether a target is warm, or may get a flow though cold."""
@@ -372,7 +374,7 @@
 
     def _choose_target(self, route, packet, tried, now):
         first, *others = order_services(route, packet)
-        avoided = self.judge.choose_avoided_zones(now)
+        avoided = self.failure_detector.choose_avoided_zones(now)
         chosen = self._list_targets(first, now)
         listed = chain(
             (chosen,), (self._list_targets(name, now) for name in others)
@@ -420,7 +422,7 @@
             target
             for target in targets
             if target.zone not in avoided
-            and not self.judge.is_avoided(target.cookie, now)
+            and not self.failure_detector.is_avoided(target.cookie, now)
         ]
 
     def _estimate_unreported_flows(self, now):
@@ -462,7 +464,7 @@
         if target is None:
             return self._handle_missing_target(packet, cookie, now)
         self._evidence.note_packet(packet, cookie, target, now)
-        if self.judge.is_given_up(cookie, now):
+        if self.failure_detector.is_given_up(cookie, now):
             # A caller that went on waiting would miss its deadline; after a
             # reset it opens a flow on a target that answers.
             return Reset(packet.ack, Reason.TARGET_SILENT)
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -3,7 +3,7 @@
 A packet that acknowledges more data than the one before proves an answer, a
 repeated packet shows that no answer came.  A request that has waited too
 long, or whose answer is unusually short, counts as failed.  Each of these is
-passed on to the :class:`~cornelgap.forwarding.target_judge.TargetJudge`.
+passed on to the :class:`~cornelgap.forwarding.target_judge.FailureDetector`.
 """
 
 from cornelgap.forwarding import packets as pkt
@@ -16,20 +16,21 @@
 
 
 class FlowEvidence:
-    """Reads callers' packets and reports to the judge of targets.
+    """Reads callers' packets and reports to the failure detector.
 
     :param flows: :class:`~cornelgap.forwarding.flows.FlowTable`.
-    :param judge: :class:`~cornelgap.forwarding.target_judge.TargetJudge`.
+    :param failure_detector:
+        :class:`~cornelgap.forwarding.target_judge.FailureDetector`.
     :param on_answer: called for each answer whose duration is known, with
         the flow's key, the flow and the size of the answer in bytes.
     :ivar answers: histogram of answer durations.
     """
 
-    def __init__(self, flows, judge, on_answer):
+    def __init__(self, flows, failure_detector, on_answer):
         """Start without any request."""
         self._on_answer = on_answer
         self._flows = flows
-        self._judge = judge
+        self._failure_detector = failure_detector
         self._request_watch = RequestWatch()
         self.answers = Buckets()
 
@@ -48,7 +49,7 @@
         :param target: the target that got the SYN; None if it is unknown.
         :param again: whether the caller had repeated the SYN before.
         """
-        self._judge.note_repeat(
+        self._failure_detector.note_repeat(
             known.cookie, target, packet, again, now, opening=True
         )
         if again:
@@ -68,7 +69,9 @@
             elif is_repeat(packet, known, now):
                 known.repeats += 1
                 again = known.repeats > 1
-                self._judge.note_repeat(cookie, target, packet, again, now)
+                self._failure_detector.note_repeat(
+                    cookie, target, packet, again, now
+                )
         closing = bool(packet.flags & (pkt.FIN | pkt.RST))
         self._note_end(packet, known, closing)
         flow = self._flows.note_packet(
@@ -76,7 +79,7 @@
         )
         if known is not None and flow.waiting_since == now:
             self._request_watch.note_request(packet.flow, now)
-            self._judge.note_request(now)
+            self._failure_detector.note_request(now)
 
     def note_overdue(self, now):
         """Record the requests that have waited too long as failed."""
@@ -98,7 +101,7 @@
             known.prompt = self._request_watch.note_answer(
                 packet.flow, waited_s
             )
-        self._judge.note_answer(
+        self._failure_detector.note_answer(
             cookie, target, answered_at, known.opened_at, now
         )
 
@@ -118,7 +121,7 @@
             self._note_failure(known)
         elif known.prompt is not None:
             kind = 'prompt' if known.prompt else 'slow'
-            self._judge.note_outcome(known.cookie, kind)
+            self._failure_detector.note_outcome(known.cookie, kind)
 
     def _note_failure(self, flow):
         """Record that a flow's last request failed, once per request.
@@ -128,7 +131,7 @@
         """
         if not flow.failed:
             flow.failed = True
-            self._judge.note_outcome(flow.cookie, 'failed')
+            self._failure_detector.note_outcome(flow.cookie, 'failed')
 
 
 def is_next_request(packet, known):
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -20,14 +20,14 @@
     """Records openings, and decides which ones to drop.
 
     :param zone: this instance's availability zone.
-    :param judge: :class:`~cornelgap.forwarding.target_judge.TargetJudge`,
+    :param failure_detector: :class:`~cornelgap.forwarding.target_judge.FailureDetector`,
         which knows the zones that are away.
     """
 
-    def __init__(self, zone, judge):
+    def __init__(self, zone, failure_detector):
         """Start without openings, and drop none."""
         self._zone = zone
-        self._judge = judge
+        self._failure_detector = failure_detector
         self._recent = deque()
         self._drops_until = float('-inf')
         self._zones_view = None
@@ -35,7 +35,7 @@
 
     def note_placed(self, view, route, target, now):
         """Record that an opening was forwarded to a target."""
-        away = self._judge.is_away(target.zone)
+        away = self._failure_detector.is_away(target.zone)
         beyond = self.find_zones_beyond_cut(view, route) if away else ()
         self._recent.append((now, beyond, route))
 
@@ -59,7 +59,7 @@
             zone has a target.
         """
         zones = self._list_zones(view, route)
-        if not all(map(self._judge.is_away, zones)):
+        if not all(map(self._failure_detector.is_away, zones)):
             return frozenset()
         return zones - {self._zone}
 
@@ -75,7 +75,7 @@
         """
         while self._recent and now - self._recent[0][0] > OPENING_WINDOW_S:
             self._recent.popleft()
-        away = self._judge.list_away()
+        away = self._failure_detector.list_away()
         if not away:
             return None
         counts = Counter(bool(beyond) for _, beyond, _ in self._recent)
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -270,7 +270,7 @@
         self._report_evidence()
 
     def _report_evidence(self):
-        evidence = self._engine.judge.take_evidence()
+        evidence = self._engine.failure_detector.take_evidence()
         if evidence:
             self._tell(EvidenceSeen(evidence))
             self._reset_lost_flows()
@@ -309,14 +309,14 @@
                 extra={'targets': outliers, 'before': self._outlier_targets},
             )
             self._outlier_targets = outliers
-        away = self._engine.judge.list_away()
+        away = self._engine.failure_detector.list_away()
         if away != self._away_zones:
             _LOG.info(
                 'forwarding: zones away',
                 extra={'zones': away, 'before': self._away_zones},
             )
             self._away_zones = away
-        lossy = self._engine.judge.is_lossy(self._turn_at)
+        lossy = self._engine.failure_detector.is_lossy(self._turn_at)
         if lossy != self._is_path_lossy:
             _LOG.warning(
                 'forwarding: packets are lost on the way here'
@@ -443,7 +443,7 @@
         flows = self._engine.flows
         report = LoadSeen(
             flows.count_flows(),
-            self._engine.judge.take_outcomes(),
+            self._engine.failure_detector.take_outcomes(),
             self._engine.make_opening_report(self._turn_at),
         )
         self._tell(report)
@@ -458,7 +458,9 @@
             'answer_seconds_bucket': dict(self._engine.answers.counts),
             'flows': sum(load.flows for load in loads),
             'waiting': sum(load.waiting for load in loads),
-            'way_lossy': int(self._engine.judge.is_lossy(self._turn_at)),
+            'way_lossy': int(
+                self._engine.failure_detector.is_lossy(self._turn_at)
+            ),
             'admitted_share': self._engine.admission.read_shares(),
         }
         return dict(self.counts), gauges, self._last_packet_at
--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -82,7 +82,7 @@
         ]
 
 
-class TargetJudge:
+class FailureDetector:
     """Detects failed targets, by cookie, and unreachable zones, by name.
 
     :ivar silent: cookies of the targets given up at the last check.
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -237,7 +237,7 @@
 
 def trust_young_verdict(patches):
     patches.set_attr(
-        target_judge.TargetJudge,
+        target_judge.FailureDetector,
         '_is_surely_away',
         lambda self, zone, now: self._reach.is_away(zone),
     )
@@ -264,7 +264,9 @@
         self._evidence = target_judge.Evidence()
         return target_judge.Evidence(found.repeats)
 
-    patches.set_attr(target_judge.TargetJudge, 'take_evidence', take_evidence)
+    patches.set_attr(
+        target_judge.FailureDetector, 'take_evidence', take_evidence
+    )
 
 
 def believe_any_answer(patches):
@@ -272,7 +274,7 @@
         if self._take_answer(cookie, target, answered_at) is not None:
             self._evidence.add_answer(cookie)
 
-    patches.set_attr(target_judge.TargetJudge, 'note_answer', note_answer)
+    patches.set_attr(target_judge.FailureDetector, 'note_answer', note_answer)
 
 
 def forget_far_loads(patches):
--- a/features/proofs/grey_world.py
+++ b/features/proofs/grey_world.py
@@ -80,13 +80,13 @@
         return {
             cookie
             for desk in self.desks
-            for cookie in desk.engine.judge.list_outliers(self.now)
+            for cookie in desk.engine.failure_detector.list_outliers(self.now)
         }
 
     def count_outliers(self):
         """Return the most targets that one instance avoids."""
         return max(
-            len(desk.engine.judge.list_outliers(self.now))
+            len(desk.engine.failure_detector.list_outliers(self.now))
             for desk in self.desks
         )
 
@@ -161,13 +161,13 @@
         for desk in self.desks:
             self._act(desk).confirm()
             desk.engine.note_overdue(self.now)
-            told.append(desk.engine.judge.take_evidence())
+            told.append(desk.engine.failure_detector.take_evidence())
         for number, evidence in enumerate(told):
             for other, desk in enumerate(self.desks):
                 if evidence and other != number:
                     desk.engine.note_evidence(f'n{number}', evidence, self.now)
         outcomes = {}
         for desk in self.desks:
-            add_outcomes(outcomes, desk.engine.judge.take_outcomes())
+            add_outcomes(outcomes, desk.engine.failure_detector.take_outcomes())
         for desk in self.desks:
             desk.engine.note_zone_outcomes(outcomes, self.now)
--- a/features/proofs/lost_flow_stories.py
+++ b/features/proofs/lost_flow_stories.py
@@ -116,7 +116,7 @@
     :returns: for each instance, the callers that it resets then.
     """
     told = [
-        (name, desk.engine.judge.take_evidence())
+        (name, desk.engine.failure_detector.take_evidence())
         for name, desk in enumerate(desks)
     ]
     while told:
--- a/features/proofs/path_loss_stories.py
+++ b/features/proofs/path_loss_stories.py
@@ -177,7 +177,7 @@
     found = []
     for caller, target in callers.items():
         desk.send(caller, target, ack=900)
-        if desk.engine.judge.is_lossy(desk.now):
+        if desk.engine.failure_detector.is_lossy(desk.now):
             found.append('the way here is blamed for a cut beyond it')
     return found[:1]
 
@@ -219,9 +219,9 @@
 def play_silence_under_overload():
     """Targets shed, and requests to one of them are lost on full links."""
     desk = start_desk()
-    desk.engine.judge.overloaded = True
+    desk.engine.failure_detector.overloaded = True
     desk.pass_time(2)
     send_busy(desk)
-    desk.engine.judge.overloaded = False
+    desk.engine.failure_detector.overloaded = False
     reset = list_reset(desk)
     return ['flows were reset on what too much load explains'] if reset else []
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -325,7 +325,7 @@
         rank = near.compute_rank()
         node.engine.note_other_instances({}, near.count_zone(), 0.5, rank)
         node.engine.expire(self.now)
-        evidence = node.engine.judge.take_evidence()
+        evidence = node.engine.failure_detector.take_evidence()
         if evidence:
             parts = {
                 'repeats': evidence.repeats,
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -133,7 +133,7 @@
 
 def tell_all(desks):
     """Let each instance hear what the others have seen."""
-    told = [desk.engine.judge.take_evidence() for desk in desks]
+    told = [desk.engine.failure_detector.take_evidence() for desk in desks]
     for name, evidence in enumerate(told):
         for other, desk in enumerate(desks):
             if other != name:
@@ -168,7 +168,7 @@
     probe = desks[0].open(50000)
     desks[0].send(50000, probe, ack=7001)
     tell_all(desks)
-    if any(desk.engine.judge.list_away() for desk in desks):
+    if any(desk.engine.failure_detector.list_away() for desk in desks):
         return ['an instance still takes the zone to be away']
     return []
 
@@ -178,7 +178,7 @@
     desks = start_cut_zone()
     desks[0].send(40003, FAR[2], ack=3)
     tell_all(desks)
-    if not all(desk.engine.judge.list_away() for desk in desks[1:]):
+    if not all(desk.engine.failure_detector.list_away() for desk in desks[1:]):
         return ['an old answer hides the cut from other instances']
     return []
 
