--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -144,7 +144,7 @@
             prompt,
         )
 
-    def judge_opening(self, name, route, packet, now):
+    def check_admission(self, name, route, packet, now):
         """Admit or refuse an opening that was not yet forwarded from here.
 
         :param name: name of the service that the opening is for.
@@ -164,7 +164,7 @@
         )
         if self._rng.random() < chance:
             return None
-        if has_surely_not_run(packet):
+        if is_first_copy(packet):
             return Reset(packet.ack, Reason.OVERLOADED)
         return Drop(Reason.COPY_OVERLOADED)
 
@@ -235,7 +235,7 @@
         }
 
 
-def has_surely_not_run(packet):
+def is_first_copy(packet):
     """Return whether no instance can have forwarded an opening before.
 
     :param packet: a SYN of a flow that this instance has not forwarded.
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -294,7 +294,7 @@
         known = self.flows.find(packet.flow)
         if not was_forwarded(known):
             name = order_services(route, packet)[0]
-            refusal = self.admission.judge_opening(name, route, packet, now)
+            refusal = self.admission.check_admission(name, route, packet, now)
             if refusal is not None:
                 return refusal
         early = is_early_copy(packet, known, now)
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -481,7 +481,7 @@
 
 def refuse_copies(patches):
     patches.replace_function(
-        admission_control.has_surely_not_run, lambda packet: True
+        admission_control.is_first_copy, lambda packet: True
     )
 
 
