--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -132,7 +132,7 @@
         request to a dead target; a request that must not run twice would
         then be lost, since it cannot be sent again.
         """
-        silent = self.failure_detector.find_fresh_silent(self.flows.loads, now)
+        silent = self.failure_detector.update_silent(self.flows.loads, now)
         gone, self._newly_gone = self._newly_gone, set()
         lost = {cookie: Reason.TARGET_SILENT for cookie in silent}
         lost.update(
--- a/cornelgap/forwarding/target_judge.py
+++ b/cornelgap/forwarding/target_judge.py
@@ -25,7 +25,7 @@
 """Number of instances in a zone from which on at least two of them must see
 that a target is silent.  In smaller zones one instance is enough."""
 
-YOUNG_S = 1.5
+STARTUP_S = 1.5
 """Time after the first packet, or after a stall of the process, in which no
 target is given up.  Long flows send about one request a second, so an
 instance that has just started has seen no answers yet, and callers still
@@ -195,7 +195,7 @@
             answered.
         :param opened_at: when the flow of the answer was first seen here.
         """
-        away_since = self._take_answer(cookie, target, answered_at)
+        away_since = self._record_answer(cookie, target, answered_at)
         self._path_loss.note_answer(cookie, answered_at, now)
         if away_since is not None and opened_at > away_since:
             # One instance probes for all: the others have no flow in the
@@ -221,7 +221,7 @@
         """
         for cookie, answered_at in evidence.list_answers(now):
             target = by_cookie.get(cookie)
-            self._take_answer(cookie, target, answered_at, reported=True)
+            self._record_answer(cookie, target, answered_at, reported=True)
         answering = Evidence()
         for cookie, number, again, opening in evidence.list_repeats():
             age = self._health.find_answer(cookie, now)
@@ -283,7 +283,7 @@
             return False
         return not self._health.take_probe(cookie, now)
 
-    def find_fresh_silent(self, cookies, now):
+    def update_silent(self, cookies, now):
         """Return the targets that have become silent since the last call."""
         if self._may_be_local_fault(now):
             return frozenset()
@@ -294,7 +294,7 @@
         self.silent = silent
         return newly_silent
 
-    def _take_answer(self, cookie, target, answered_at, reported=False):
+    def _record_answer(self, cookie, target, answered_at, reported=False):
         """Record an answer.
 
         :param told: whether another instance has reported it.
@@ -314,11 +314,13 @@
         if target is not None:
             if again:
                 self._reach.note_repeat(target.zone, cookie, flow[0], now)
-            away = self._is_surely_away(target.zone, now)
-        weak = is_weak(opening, self.overloaded, away)
-        return self._health.note_repeat(cookie, flow, now, again, away, weak)
+            away = self._is_away_after_startup(target.zone, now)
+        openings_only = concerns_openings_only(opening, self.overloaded, away)
+        return self._health.note_repeat(
+            cookie, flow, now, again, away, openings_only
+        )
 
-    def _is_surely_away(self, zone, now):
+    def _is_away_after_startup(self, zone, now):
         """Return whether a zone is unreachable and this is no startup effect.
 
         An instance that has just started sees no answers from zones to which
@@ -332,10 +334,10 @@
         return self._is_starting(now) or self._path_loss.is_lossy(now)
 
     def _is_starting(self, now):
-        return self._began_at is None or now - self._began_at < YOUNG_S
+        return self._began_at is None or now - self._began_at < STARTUP_S
 
 
-def is_weak(opening, overloaded, away):
+def concerns_openings_only(opening, overloaded, away):
     """Return whether a repeat is no evidence against a target's open flows.
 
     :param opening: whether the repeated packet is an opening.
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -238,7 +238,7 @@
 def trust_young_verdict(patches):
     patches.set_attr(
         target_judge.FailureDetector,
-        '_is_surely_away',
+        '_is_away_after_startup',
         lambda self, zone, now: self._reach.is_away(zone),
     )
 
@@ -271,7 +271,7 @@
 
 def believe_any_answer(patches):
     def note_answer(self, cookie, target, answered_at, opened_at):
-        if self._take_answer(cookie, target, answered_at) is not None:
+        if self._record_answer(cookie, target, answered_at) is not None:
             self._evidence.add_answer(cookie)
 
     patches.set_attr(target_judge.FailureDetector, 'note_answer', note_answer)
@@ -290,7 +290,7 @@
 
 
 def judge_at_once(patches):
-    patches.set_attr(target_judge, 'YOUNG_S', 0)
+    patches.set_attr(target_judge, 'STARTUP_S', 0)
 
 
 def move_first_copy(patches):
@@ -406,7 +406,8 @@
 
 def weigh_all_repeats(patches):
     patches.replace_function(
-        target_judge.is_weak, lambda opening, overloaded, away: opening
+        target_judge.concerns_openings_only,
+        lambda opening, overloaded, away: opening,
     )
 
 
