--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -369,7 +369,9 @@
         if known is None or known.established or not packet.ack:
             return ()
         target = self.view.by_cookie.get(known.cookie)
-        self._evidence.note_copy(packet, known, target, packet.ack > 1, now)
+        self._evidence.note_repeated_syn(
+            packet, known, target, packet.ack > 1, now
+        )
         return (*known.tried, known.cookie)
 
     def _choose_target(self, route, packet, tried, now):
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -42,7 +42,7 @@
         """Drop the waiting requests, as after a stall of this process."""
         self._request_watch.clear()
 
-    def note_copy(self, packet, known, target, again, now):
+    def note_repeated_syn(self, packet, known, target, again, now):
         """Record that a caller repeated a SYN.
 
         :param known: the flow, not yet open.
