--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -24,7 +24,7 @@
 """Age up to which a report counts.  Reports come twice a second, so two
 datagrams in a row may be lost."""
 
-STALE_S = 3.0
+VERDICT_LIFETIME_S = 3.0
 """Age of the last confirmation at which a verdict lapses.  If the first hub
 fails, the next one takes over within 1.3 s and confirms with its next beat."""
 
@@ -32,7 +32,7 @@
 """Time for which beats report a return into rotation.  At an instance that
 has not heard of it by then, the withdrawal has lapsed."""
 
-START_S = 1.0
+FIRST_BEAT_WAIT_S = 1.0
 """Longest time after the start for which an instance stays unready and waits
 for a first beat of its zone, if the zone has no target of its own.  A single
 instance that is ready before it knows the verdict brings its whole zone back
@@ -43,7 +43,7 @@
 has no key yet can't read beats; it asks one seed a second, and most seeds are
 in other zones."""
 
-LEAVE_S = 2.0
+ROUTER_SWITCH_S = 2.0
 """Time after a withdrawal for which openings are dropped.  Routers stop using
 the zone after two failed checks, half a second apart, and callers send the
 last copy of a SYN after 0.6 s.  Openings that still come later can't reach
@@ -132,7 +132,7 @@
                 and not self._local_targets
                 and not self._heard_own_zone
             ):
-                self._unready_until = now + START_S
+                self._unready_until = now + FIRST_BEAT_WAIT_S
         self._announce(now)
 
     def take_beat(self, beat, now):
@@ -163,7 +163,10 @@
         :returns: whether the verdict has changed and must be sent at once.
         """
         withdrawal = self._withdrawal
-        if withdrawal.withdrawn and now - self._confirmed_at > STALE_S:
+        if (
+            withdrawal.withdrawn
+            and now - self._confirmed_at > VERDICT_LIFETIME_S
+        ):
             withdrawal.forget()
             self._log(self._neighbours.name, now)
         if self._unready_until is not None and now >= self._unready_until:
@@ -252,7 +255,7 @@
         changed_at = now - changed_ms / 1000
         confirmed_at = now - confirmed_ms / 1000 + extra_s
         withdrawal = self._withdrawal
-        if withdrawn and now - confirmed_at > STALE_S:
+        if withdrawn and now - confirmed_at > VERDICT_LIFETIME_S:
             return
         if withdrawn == withdrawal.withdrawn:
             self._confirmed_at = max(self._confirmed_at, confirmed_at)
@@ -291,7 +294,7 @@
         if unready != before[0]:
             self._on_unready_change(unready)
         if state != before[1]:
-            self._send(DropOpenings((0, LEAVE_S, UNDECIDED_S)[state]))
+            self._send(DropOpenings((0, ROUTER_SWITCH_S, UNDECIDED_S)[state]))
 
     def _log(self, source, now):
         withdrawal = self._withdrawal
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -19,7 +19,7 @@
 
 
 def reset_all_openings(patches):
-    patches.set_attr(zone_standing, 'LEAVE_S', 0)
+    patches.set_attr(zone_standing, 'ROUTER_SWITCH_S', 0)
 
 
 def reset_undecided(patches):
@@ -32,7 +32,7 @@
 
 
 def let_verdict_lapse(patches):
-    patches.set_attr(zone_standing, 'STALE_S', 0.3)
+    patches.set_attr(zone_standing, 'VERDICT_LIFETIME_S', 0.3)
 
 
 def keep_verdict_to_hub(patches):
@@ -79,7 +79,7 @@
 
 
 def begin_ready(patches):
-    patches.set_attr(zone_standing, 'START_S', 0)
+    patches.set_attr(zone_standing, 'FIRST_BEAT_WAIT_S', 0)
 
 
 def give_up_served(patches):
