--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -281,7 +281,7 @@
         if self._beat_sender.key is None or not self._directory.complete:
             return b''
         now = read_clock()
-        zone_report = self._zone_standing.report(now)
+        zone_report = self._zone_standing.make_beat_fields(now)
         return peers.pack_snapshot(
             self._directory,
             now,
@@ -411,9 +411,9 @@
             now, is_heard=self._beat_sender.key is not None
         ):
             self._send_beat(self._neighbours.list_all_near(), self._own.zone)
-        lost_hosts = self._zone_standing.list_lost_hosts(now)
-        if lost_hosts:
-            self._send_beat(lost_hosts, '', hello=True)
+        probe_hosts = self._zone_standing.list_cut_probe_hosts(now)
+        if probe_hosts:
+            self._send_beat(probe_hosts, '', hello=True)
 
     def _send_loads(self, hosts, loads):
         self._send_beat(hosts, self._own.zone, loads=loads)
@@ -441,7 +441,7 @@
 
     def _send_beat(self, hosts, zone, **parts):
         if zone == self._own.zone:
-            parts.update(self._zone_standing.report(self._received_at))
+            parts.update(self._zone_standing.make_beat_fields(self._received_at))
         following = self._follower_role.active
         self._beat_sender.send(
             hosts, zone, following, self._received_at, **parts
--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -191,7 +191,7 @@
         self._announce(now)
         return changed or withdrawal.undecided > undecided
 
-    def report(self, now):
+    def make_beat_fields(self, now):
         """Return the fields for beats and snapshots within the own zone."""
         fields = {}
         withdrawal = self._withdrawal
@@ -215,7 +215,7 @@
             fields['beyond'] = sorted(beyond)
         return fields
 
-    def list_lost_hosts(self, now):
+    def list_cut_probe_hosts(self, now):
         """Return hosts of other zones to ask whether the cut is over.
 
         While the zone is in rotation, a hub only remembers the hubs of the
@@ -243,10 +243,10 @@
         self._heard_own_zone = True
         self._unready_until = None
         if message.withdrawal:
-            self._compare(message, source, now, extra_s)
+            self._merge_verdict(message, source, now, extra_s)
         self._announce(now)
 
-    def _compare(self, message, source, now, extra_s):
+    def _merge_verdict(self, message, source, now, extra_s):
         state, changed_ms, confirmed_ms = message.withdrawal
         if state == UNDECIDED:
             self._undecided_until = now + UNDECIDED_S
--- a/features/proofs/withdrawal_guards.py
+++ b/features/proofs/withdrawal_guards.py
@@ -38,7 +38,7 @@
 def keep_verdict_to_hub(patches):
     patches.set_attr(
         zone_standing.ZoneStanding,
-        '_compare',
+        '_merge_verdict',
         lambda self, told, by, now, spare_s: None,
     )
 
@@ -104,7 +104,7 @@
 
 def ask_nobody(patches):
     patches.set_attr(
-        zone_standing.ZoneStanding, 'list_lost_hosts', lambda self, now: []
+        zone_standing.ZoneStanding, 'list_cut_probe_hosts', lambda self, now: []
     )
 
 
--- a/features/proofs/withdrawal_stories.py
+++ b/features/proofs/withdrawal_stories.py
@@ -229,13 +229,19 @@
     world = start_world()
     world.cut = True
     before = world.instances['n0'].standing
-    while before.report(world.now).get('withdrawal', [0])[0] != UNDECIDED:
+    while (
+        before.make_beat_fields(world.now).get('withdrawal', [0])[0]
+        != UNDECIDED
+    ):
         world.run(0.05)
         if world.now > 120:
             return ['the zone is never undecided']
     world.start(-1)
     world.run(1)
-    if before.report(world.now).get('withdrawal', [0])[0] == UNDECIDED:
+    if (
+        before.make_beat_fields(world.now).get('withdrawal', [0])[0]
+        == UNDECIDED
+    ):
         return ['one that is no hub any more keeps callers waiting']
     return []
 
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -320,7 +320,7 @@
             return
         if node.standing.tick(self.now):
             self._send(node, near.list_all_near())
-        if node.standing.list_lost_hosts(self.now) and not self.cut:
+        if node.standing.list_cut_probe_hosts(self.now) and not self.cut:
             self.met_at = self.now
         rank = near.compute_rank()
         node.engine.note_other_instances({}, near.count_zone(), 0.5, rank)
@@ -350,7 +350,7 @@
         host = node.near.choose_seed(self.now)
         for other in self.list_alive():
             if other.near.host == host and other.keyed:
-                told = other.standing.report(self.now)
+                told = other.standing.make_beat_fields(self.now)
                 told.pop('openings', None)
                 raw = pack_snapshot(
                     other.directory, self.now, KEY, zone='b', **told
@@ -367,7 +367,7 @@
             node.near.capacity,
             hub=node.near.is_hub,
             **parts,
-            **node.standing.report(self.now),
+            **node.standing.make_beat_fields(self.now),
         )
         raw = encode_beat(beat, KEY)
         for other in self.list_alive():
