--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -27,6 +27,7 @@
     ZonesDrained,
     read_clock,
 )
+from cornelgap.forwarding.failure_detector import Evidence
 from cornelgap.forwarding.fetcher import FETCHER, Fetch, SnapshotFetched
 from cornelgap.forwarding.follower import FOLLOWER, Follow, ListOnce
 from cornelgap.forwarding.neighbours import (
@@ -43,7 +44,6 @@
 )
 from cornelgap.forwarding.reports import Reports
 from cornelgap.forwarding.sockets import discard_waiting, open_socket
-from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
 from cornelgap.kernel.named_actor import NamedActor
@@ -441,7 +441,9 @@
 
     def _send_beat(self, hosts, zone, **parts):
         if zone == self._own.zone:
-            parts.update(self._zone_standing.make_beat_fields(self._received_at))
+            parts.update(
+                self._zone_standing.make_beat_fields(self._received_at)
+            )
         following = self._follower_role.active
         self._beat_sender.send(
             hosts, zone, following, self._received_at, **parts
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -19,6 +19,7 @@
     View,
     Warmup,
 )
+from cornelgap.forwarding.failure_detector import FailureDetector
 from cornelgap.forwarding.flow_evidence import FlowEvidence
 from cornelgap.forwarding.flows import FlowTable
 from cornelgap.forwarding.lifetimes import is_gone, list_reborn
@@ -31,7 +32,6 @@
     was_forwarded,
 )
 from cornelgap.forwarding.packets import Drop, Forward, Reason, Reset
-from cornelgap.forwarding.target_judge import FailureDetector
 
 MAX_DIRECTORY_AGE_S = 3.0
 """Greatest age of the directory at which a route or target that it lacks is
@@ -187,8 +187,9 @@
     def note_evidence(self, instance, evidence, now):
         """Record another instance's evidence on whether targets answer.
 
-        :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
-        :returns: :class:`~cornelgap.forwarding.target_judge.Evidence` for
+        :param evidence:
+            :class:`~cornelgap.forwarding.failure_detector.Evidence`.
+        :returns: :class:`~cornelgap.forwarding.failure_detector.Evidence` for
             that instance, of targets that have repeats there but answer
             here.
         """
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -3,7 +3,7 @@
 A packet that acknowledges more data than the one before proves an answer, a
 repeated packet shows that no answer came.  A request that has waited too
 long, or whose answer is unusually short, counts as failed.  Each of these is
-passed on to the :class:`~cornelgap.forwarding.target_judge.FailureDetector`.
+passed on to the failure detector.
 """
 
 from cornelgap.forwarding import packets as pkt
@@ -20,7 +20,7 @@
 
     :param flows: :class:`~cornelgap.forwarding.flows.FlowTable`.
     :param failure_detector:
-        :class:`~cornelgap.forwarding.target_judge.FailureDetector`.
+        :class:`~cornelgap.forwarding.failure_detector.FailureDetector`.
     :param on_answer: called for each answer whose duration is known, with
         the flow's key, the flow and the size of the answer in bytes.
     :ivar answers: histogram of answer durations.
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -20,7 +20,7 @@
     """Records openings, and decides which ones to drop.
 
     :param zone: this instance's availability zone.
-    :param failure_detector: :class:`~cornelgap.forwarding.target_judge.FailureDetector`,
+    :param failure_detector: :class:`~cornelgap.forwarding.failure_detector.FailureDetector`,
         which knows the zones that are away.
     """
 
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -124,7 +124,7 @@
 class EvidenceSeen(Struct, frozen=True):
     """Message: evidence from this instance's flows on the health of targets.
 
-    :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
+    :param evidence: :class:`~cornelgap.forwarding.failure_detector.Evidence`.
     """
 
     evidence: object
@@ -134,7 +134,7 @@
     """Message: evidence on the health of targets from another instance.
 
     :param instance: name of that instance.
-    :param evidence: :class:`~cornelgap.forwarding.target_judge.Evidence`.
+    :param evidence: :class:`~cornelgap.forwarding.failure_detector.Evidence`.
     """
 
     instance: str
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -17,6 +17,7 @@
     admission_control,
     directory,
     engine,
+    failure_detector,
     flows,
     lifetimes,
     neighbours,
@@ -24,7 +25,6 @@
     packet_checks,
     peer_messages,
     request_watch,
-    target_judge,
 )
 from cornelgap.forwarding.packets import Drop, Reason, Reset
 from cornelgap.platform import layout, objects, sources
@@ -237,7 +237,7 @@
 
 def trust_young_verdict(patches):
     patches.set_attr(
-        target_judge.FailureDetector,
+        failure_detector.FailureDetector,
         '_is_away_after_startup',
         lambda self, zone, now: self._reach.is_away(zone),
     )
@@ -261,11 +261,11 @@
 def keep_returns(patches):
     def take_evidence(self):
         found = self._evidence
-        self._evidence = target_judge.Evidence()
-        return target_judge.Evidence(found.repeats)
+        self._evidence = failure_detector.Evidence()
+        return failure_detector.Evidence(found.repeats)
 
     patches.set_attr(
-        target_judge.FailureDetector, 'take_evidence', take_evidence
+        failure_detector.FailureDetector, 'take_evidence', take_evidence
     )
 
 
@@ -274,7 +274,9 @@
         if self._record_answer(cookie, target, answered_at) is not None:
             self._evidence.add_answer(cookie)
 
-    patches.set_attr(target_judge.FailureDetector, 'note_answer', note_answer)
+    patches.set_attr(
+        failure_detector.FailureDetector, 'note_answer', note_answer
+    )
 
 
 def forget_far_loads(patches):
@@ -290,7 +292,7 @@
 
 
 def judge_at_once(patches):
-    patches.set_attr(target_judge, 'STARTUP_S', 0)
+    patches.set_attr(failure_detector, 'STARTUP_S', 0)
 
 
 def move_first_copy(patches):
@@ -406,7 +408,7 @@
 
 def weigh_all_repeats(patches):
     patches.replace_function(
-        target_judge.concerns_openings_only,
+        failure_detector.concerns_openings_only,
         lambda opening, overloaded, away: opening,
     )
 
--- a/features/proofs/forwarding_stories.py
+++ b/features/proofs/forwarding_stories.py
@@ -13,9 +13,9 @@
 from cornelgap.decisions.following import FollowerRole
 from cornelgap.forwarding import packets as pkt
 from cornelgap.forwarding import peer_messages
+from cornelgap.forwarding.failure_detector import Evidence
 from cornelgap.forwarding.packets import Drop
 from cornelgap.forwarding.stamps import Stamp
-from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.platform import layout, sources
 from features.proofs.forwarding_desk import (
     ADDRESS,
--- a/features/proofs/lost_flow_stories.py
+++ b/features/proofs/lost_flow_stories.py
@@ -4,7 +4,7 @@
 with its guard and without it.
 """
 
-from cornelgap.forwarding.target_judge import Evidence
+from cornelgap.forwarding.failure_detector import Evidence
 from features.proofs.forwarding_desk import Desk, make_route, make_target
 
 TARGETS = tuple(make_target(number) for number in range(1, 5))
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -7,6 +7,7 @@
 import random
 
 from cornelgap.forwarding import packets as pkt
+from cornelgap.forwarding.failure_detector import Evidence
 from cornelgap.forwarding.neighbours import (
     FORGET_S,
     REPAIR_S,
@@ -21,7 +22,6 @@
     pack_snapshot,
     unpack_snapshot,
 )
-from cornelgap.forwarding.target_judge import Evidence
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from features.proofs.forwarding_desk import (
     Desk,
