--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -12,9 +12,9 @@
     UNREADABLE,
     Target,
     View,
+    accepts_new_flows,
     add_cookie,
     is_zone_open,
-    takes_flows,
 )
 from cornelgap.forwarding.lost_writes import LostWrites
 from cornelgap.forwarding.stamps import (
@@ -270,7 +270,7 @@
                 gone[target.cookie] = target
                 continue
             is_open = is_zone_open(target.zone, drained_zones)
-            if is_open and takes_flows(target):
+            if is_open and accepts_new_flows(target):
                 fallback.setdefault(target.service, []).append(target)
             add_cookie(by_cookie, target)
         for target in self._targets.values():
@@ -279,7 +279,7 @@
             add_cookie(by_cookie, target)
             if not is_zone_open(target.zone, drained_zones):
                 drained_services.add(target.service)
-            elif takes_flows(target):
+            elif accepts_new_flows(target):
                 by_service.setdefault(target.service, []).append(target)
         return View(
             routes=self._routes,
@@ -385,7 +385,8 @@
         closed = [
             target
             for target in known
-            if not takes_flows(target) or self._lost_writes.is_closed(target)
+            if not accepts_new_flows(target)
+            or self._lost_writes.is_closed(target)
         ]
         closed += [
             item.target
--- a/cornelgap/forwarding/directory_view.py
+++ b/cornelgap/forwarding/directory_view.py
@@ -120,9 +120,9 @@
         """Return the target with a cookie, registered or not, or None."""
         return self.by_cookie.get(cookie) or self.gone.get(cookie)
 
-    def takes_flows(self, target):
+    def accepts_new_flows(self, target):
         """Tell whether a target may get new flows."""
-        return takes_flows(target) and is_zone_open(
+        return accepts_new_flows(target) and is_zone_open(
             target.zone, self.drained_zones
         )
 
@@ -147,7 +147,7 @@
     return folded or 0xFFFFFFFF
 
 
-def takes_flows(target):
+def accepts_new_flows(target):
     """Tell whether a target may get new flows; a draining one ends soon."""
     return not target.draining
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -346,7 +346,7 @@
         :param target: None if it is not in the directory.
         :param early: whether the target has had no time to answer.
         """
-        if target is None or not self.view.takes_flows(target):
+        if target is None or not self.view.accepts_new_flows(target):
             return False
         if not self._has_room(target, now):
             return False
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -74,7 +74,7 @@
 
 
 def open_on_draining(patches):
-    patches.replace_function(directory.takes_flows, lambda target: True)
+    patches.replace_function(directory.accepts_new_flows, lambda target: True)
 
 
 def forward_forged(patches):
