--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -254,24 +254,26 @@
         """Make the immutable view by which packets are forwarded."""
         by_cookie = {}
         by_service = {}
-        fallback = {}
+        fallback_by_service = {}
         drained_services = set()
         drained_zones = self.list_drained()
         used_addresses = {target.address for target in self._targets.values()}
-        gone = {}
+        gone_by_cookie = {}
         for item in self._unregistered.values():
             target = item.target
             if target.address in used_addresses:
                 # A registered target at the same address proves that the
                 # unregistered one has ended.
-                gone[target.cookie] = None
+                gone_by_cookie[target.cookie] = None
                 continue
             if item.gone_at <= now:
-                gone[target.cookie] = target
+                gone_by_cookie[target.cookie] = target
                 continue
             is_open = is_zone_open(target.zone, drained_zones)
             if is_open and accepts_new_flows(target):
-                fallback.setdefault(target.service, []).append(target)
+                fallback_by_service.setdefault(target.service, []).append(
+                    target
+                )
             add_cookie(by_cookie, target)
         for target in self._targets.values():
             if self._lost_writes.is_closed(target):
@@ -284,15 +286,15 @@
         return View(
             routes=self._routes,
             routes_known=self.routes_as_of is not None,
-            dropped=frozenset(self._removed_routes),
+            removed_routes=frozenset(self._removed_routes),
             by_cookie=by_cookie,
-            gone=gone,
+            gone_by_cookie=gone_by_cookie,
             by_service=by_service,
-            fallback=fallback,
+            fallback_by_service=fallback_by_service,
             drained_zones=drained_zones,
             drained_services=frozenset(drained_services),
             warmups=self.warmups,
-            returned={
+            cold_until_by_zone={
                 zone: until
                 for zone, until in self._cold_until_by_zone.items()
                 if until > now
--- a/cornelgap/forwarding/directory_view.py
+++ b/cornelgap/forwarding/directory_view.py
@@ -89,36 +89,36 @@
     :param routes: route by (address, port).
     :param routes_known: whether a configuration has been received; without
         one, it is unknown whether a new flow has a route.
-    :param dropped: (address, port) of routes that were in force earlier in
-        the lifetime of this process and are not now.
+    :param removed_routes: (address, port) of routes that were in force earlier
+        in the lifetime of this process and are not now.
     :param by_cookie: target by cookie; None where two targets share a cookie.
-    :param gone: targets without a registration by cookie; None where another
+    :param gone_by_cookie: targets without a registration; None where another
         target has taken over the address.
     :param by_service: targets for new flows, by service.
-    :param fallback: targets whose registration may come back, by service.
+    :param fallback_by_service: targets whose registration may come back.
     :param drained_zones: zones whose targets get no new flows, by order of an
         operator.
     :param drained_services: services that have targets in these zones.
     :param warmups: :class:`Warmup` by service.
-    :param returned: for each zone whose drain order was withdrawn, the time
-        until which all its targets count as cold.
+    :param cold_until_by_zone: time until which all targets of a zone count as
+        cold, for zones whose drain order was cancelled.
     """
 
     routes: dict = field(default_factory=dict)
     routes_known: bool = True
-    dropped: frozenset = frozenset()
+    removed_routes: frozenset = frozenset()
     by_cookie: dict = field(default_factory=dict)
-    gone: dict = field(default_factory=dict)
+    gone_by_cookie: dict = field(default_factory=dict)
     by_service: dict = field(default_factory=dict)
-    fallback: dict = field(default_factory=dict)
+    fallback_by_service: dict = field(default_factory=dict)
     drained_zones: frozenset = frozenset()
     drained_services: frozenset = frozenset()
     warmups: dict = field(default_factory=dict)
-    returned: dict = field(default_factory=dict)
+    cold_until_by_zone: dict = field(default_factory=dict)
 
     def find(self, cookie):
         """Return the target with a cookie, registered or not, or None."""
-        return self.by_cookie.get(cookie) or self.gone.get(cookie)
+        return self.by_cookie.get(cookie) or self.gone_by_cookie.get(cookie)
 
     def accepts_new_flows(self, target):
         """Tell whether a target may get new flows."""
@@ -134,7 +134,7 @@
         """
         if now < target.cold_until:
             return True
-        return now < self.returned.get(target.zone, now)
+        return now < self.cold_until_by_zone.get(target.zone, now)
 
 
 def make_cookie(identity):
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -110,7 +110,9 @@
             self._remote_flows.pop(cookie, None)
         if view.routes is not self.view.routes:
             self.admission.adopt_routes(view.routes)
-        self._newly_gone |= view.gone.keys() - self.view.gone.keys()
+        self._newly_gone |= (
+            view.gone_by_cookie.keys() - self.view.gone_by_cookie.keys()
+        )
         self.view = view
         self.failure_detector.keep(view.by_cookie.keys())
         self._cold_starts.keep(view.by_cookie.keys())
@@ -412,7 +414,7 @@
     def _list_targets(self, service, now):
         targets = self.view.by_service.get(service)
         if not targets:
-            targets = self.view.fallback.get(service, ())
+            targets = self.view.fallback_by_service.get(service, ())
         return [
             target
             for target in targets
@@ -461,7 +463,7 @@
         if not cookie:
             return Drop(Reason.NO_COOKIE)
         place = (packet.destination, packet.destination_port)
-        if place in self.view.dropped:
+        if place in self.view.removed_routes:
             return Reset(packet.ack, Reason.ROUTE_DROPPED)
         target = self.view.by_cookie.get(cookie)
         if target is None:
@@ -480,7 +482,7 @@
             return Drop(Reason.UNKNOWN_TARGET)
         if packet.flags & pkt.RST:
             return Drop(Reason.TARGET_GONE)
-        target = self.view.gone.get(cookie)
+        target = self.view.gone_by_cookie.get(cookie)
         if target is not None and self._is_answering(cookie, now):
             # The target answers, so only its registration has lapsed: one
             # that is cut off from the store still serves its open flows.
--- a/cornelgap/forwarding/lifetimes.py
+++ b/cornelgap/forwarding/lifetimes.py
@@ -43,4 +43,4 @@
     runs would break an open flow; to forward its packets to a guessed target
     would break two flows.
     """
-    return cookie in view.gone
+    return cookie in view.gone_by_cookie
--- a/features/steps/forwarding_property_steps.py
+++ b/features/steps/forwarding_property_steps.py
@@ -291,13 +291,13 @@
     gone = (target.name, None, 3)
     directory.apply_targets([gone], Stamp(revision=3), 0, 0)
     assert view.routes == {(1, 443): route}
-    assert not view.dropped
+    assert not view.removed_routes
     assert view.by_cookie == {1: target}
     assert view.by_service == {'search': [target]}
-    assert not view.gone
+    assert not view.gone_by_cookie
     later = directory.make_view(0)
-    assert later.dropped == {(1, 443)}
-    assert later.gone == {1: target}
+    assert later.removed_routes == {(1, 443)}
+    assert later.gone_by_cookie == {1: target}
 
 
 @given('a settings file with a bad address and without a zone')
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -303,7 +303,7 @@
         directory.confirm_targets(age_s, age_s)
         gone = (target.name, None, 2)
         directory.apply_targets([gone], Stamp(revision=2), age_s, age_s)
-        assert directory.make_view(age_s).gone
+        assert directory.make_view(age_s).gone_by_cookie
 
 
 @given('its only target is cold')
--- a/features/steps/store_restore_steps.py
+++ b/features/steps/store_restore_steps.py
@@ -257,7 +257,7 @@
 @then('no target is waited for')
 def check_no_fallback(context):
     view = context.reader.directory.make_view(context.reader.now)
-    assert not view.fallback, view.fallback
+    assert not view.fallback_by_service, view.fallback_by_service
 
 
 @then('it knows that no zone is drained')
