--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -144,7 +144,7 @@
             self.warmups = warmups
         return True
 
-    def adopt_drained(self, zones, stamp, now):
+    def adopt_drained_zones(self, zones, stamp, now):
         """Replace the orders to drain zones if the given ones are newer.
 
         :param zones: names of all zones that are to be drained.
@@ -154,18 +154,18 @@
         """
         if not is_newer(stamp, self.drained_stamp):
             return False
-        before = self.list_drained()
+        before = self.list_drained_zones()
         is_restored = UNKNOWN.era < self.drained_stamp.era < stamp.era
         self.drained_stamp = stamp
         self.drained_zones = frozenset(zones)
         if is_restored:
             self._lost_writes.note_zones(before, now)
         self._lost_writes.release_zones(self.drained_zones)
-        drained = self.list_drained()
+        drained = self.list_drained_zones()
         self._mark_zones_cold(before - drained, now)
         return before != drained
 
-    def list_drained(self):
+    def list_drained_zones(self):
         """Return the zones that get no new flows by order of an operator.
 
         They include zones whose order the store may have lost in a restore.
@@ -256,7 +256,7 @@
         by_service = {}
         fallback_by_service = {}
         drained_services = set()
-        drained_zones = self.list_drained()
+        drained_zones = self.list_drained_zones()
         used_addresses = {target.address for target in self._targets.values()}
         gone_by_cookie = {}
         for item in self._unregistered.values():
@@ -301,7 +301,7 @@
             },
         )
 
-    def next_change(self, now):
+    def compute_next_gone_at(self, now):
         """Return when the next unregistered target counts as gone.
 
         :returns: a time, or None if no target is due to count as gone.
@@ -322,7 +322,7 @@
             return float('inf')
         return now - min(self.routes_as_of, self.targets_as_of)
 
-    def knows_later(self, name, stamp):
+    def has_newer_target(self, name, stamp):
         """Tell whether what is known of a target is newer than a stamp."""
         return stamp < Stamp(
             self.targets_stamp.era, self._find_entry_revision(name)
@@ -362,10 +362,10 @@
         """
         if not self.complete:
             return False
-        before = self.list_drained()
+        before = self.list_drained_zones()
         as_of = min(self.routes_as_of, self.targets_as_of)
         released = self._lost_writes.end(as_of)
-        self._mark_zones_cold(before - self.list_drained(), now)
+        self._mark_zones_cold(before - self.list_drained_zones(), now)
         return released
 
     def _begin_era(self, now):
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -328,7 +328,7 @@
         if changed or not self._was_complete:
             view = directory.make_view(now)
             self._zone_standing.take_view(view, now)
-            self._next_change_at = directory.next_change(now)
+            self._next_change_at = directory.compute_next_gone_at(now)
         as_of = now - directory.compute_age(now)
         self._send_to_packet_actor(AdoptView(view, as_of))
         if directory.complete and not self._was_complete:
@@ -489,7 +489,7 @@
             'zone_withdrawn': int(self._zone_standing.withdrawn),
             'follows_store': int(self._follower_role.active),
             'instances': self._neighbours.count_zone(),
-            'zone_drained': dict.fromkeys(directory.list_drained(), 1),
+            'zone_drained': dict.fromkeys(directory.list_drained_zones(), 1),
         }
         if directory.complete:
             age = directory.compute_age(self._received_at)
--- a/cornelgap/forwarding/directory_log.py
+++ b/cornelgap/forwarding/directory_log.py
@@ -34,7 +34,7 @@
             'from': origin,
             'era': directory.drained_stamp.era,
             'revision': directory.drained_stamp.revision,
-            'zones': sorted(directory.list_drained()),
+            'zones': sorted(directory.list_drained_zones()),
         },
     )
 
--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -108,7 +108,7 @@
         directory_log.log_refused(
             'drained_zones', origin, stamp, directory.drained_stamp
         )
-    changed = directory.adopt_drained(zones, stamp, now)
+    changed = directory.adopt_drained_zones(zones, stamp, now)
     if changed:
         directory_log.log_drained(directory, origin)
     return changed
@@ -124,6 +124,6 @@
     for change in fact.changes:
         name, _, revision = change
         stamp = Stamp(fact.stamp.era, revision)
-        is_old = directory.knows_later(name, stamp)
+        is_old = directory.has_newer_target(name, stamp)
         (refused if is_old else accepted).append(change)
     return accepted, refused
--- a/cornelgap/forwarding/news.py
+++ b/cornelgap/forwarding/news.py
@@ -56,7 +56,7 @@
     """Apply the orders to drain zones, which each beat holds in full."""
     if not beat.drained_revision:
         return News.NONE
-    changed = directory.adopt_drained(
+    changed = directory.adopt_drained_zones(
         beat.drained_zones, beat.drained_stamp, now
     )
     return News.CHANGED if changed else News.NONE
--- a/features/proofs/drain_stories.py
+++ b/features/proofs/drain_stories.py
@@ -171,7 +171,7 @@
     raw = peers.pack_snapshot(teller.directory, teller.now, KEY)
     snapshot = peers.unpack_snapshot(raw, teller.now, KEY)
     directory = Directory()
-    directory.adopt_drained(
+    directory.adopt_drained_zones(
         snapshot.drained_zones, snapshot.drained_stamp, teller.now
     )
     if directory.drained_zones != {'a'}:
--- a/features/proofs/forwarding_desk.py
+++ b/features/proofs/forwarding_desk.py
@@ -94,7 +94,7 @@
             self.revision += 1
             revision = self.revision
         stamp = Stamp(revision=revision)
-        self.directory.adopt_drained(zones, stamp, self.now)
+        self.directory.adopt_drained_zones(zones, stamp, self.now)
         self.show()
 
     def set_targets(self, *targets, revision=None):
