--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -53,7 +53,7 @@
 
 def believe_lapse(patches):
     patches.replace_function(
-        directory.compute_gone_at, lambda target, now, outage_until: now
+        directory.compute_gone_at, lambda target, now, reregistration_until: now
     )
 
 
