--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -82,7 +82,7 @@
     """Request: return the directory as bytes for another instance."""
 
 
-class ReadNews(Struct, frozen=True):
+class ReadMetrics(Struct, frozen=True):
     """Request: return counters and gauges."""
 
 
@@ -161,7 +161,7 @@
             EvidenceSeen: self._handle_evidence,
             KeyKnown: self._handle_key,
             LoadSeen: self._handle_load,
-            ReadNews: self._collect_metrics,
+            ReadMetrics: self._collect_metrics,
             ReadSnapshot: self._make_snapshot,
             SocketReadable: self._read_datagrams,
             RoutesKnown: self._handle_routes,
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -19,7 +19,7 @@
     AnnounceLeaving,
     DirectoryActor,
     KeyKnown,
-    ReadNews,
+    ReadMetrics,
     ReadSnapshot,
 )
 from cornelgap.forwarding.engine import Engine
@@ -182,7 +182,7 @@
 
         counts, gauges, _ = self._packets.ask(ReadCounts(), timeout=ASK_S)
         more_counts, more_gauges = self._directory.ask(
-            ReadNews(), timeout=ASK_S
+            ReadMetrics(), timeout=ASK_S
         )
         gauges.update(
             more_gauges,
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -28,7 +28,7 @@
     AdoptSettings,
     DirectoryActor,
     KeyKnown,
-    ReadNews,
+    ReadMetrics,
 )
 from cornelgap.forwarding.directory_view import Warmup
 from cornelgap.forwarding.follower import (
@@ -222,7 +222,8 @@
 
 def count_known(context):
     news = [
-        actor.ask(ReadNews(), timeout=WAIT_S) for actor in context.directories
+        actor.ask(ReadMetrics(), timeout=WAIT_S)
+        for actor in context.directories
     ]
     return [gauges['instances'] for _, gauges in news]
 
