--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -13,7 +13,7 @@
     Target,
     View,
     accepts_new_flows,
-    add_cookie,
+    index_by_cookie,
     is_zone_open,
 )
 from cornelgap.forwarding.lost_writes import LostWrites
@@ -274,11 +274,11 @@
                 fallback_by_service.setdefault(target.service, []).append(
                     target
                 )
-            add_cookie(by_cookie, target)
+            index_by_cookie(by_cookie, target)
         for target in self._targets.values():
             if self._lost_writes.is_closed(target):
                 target = replace(target, draining=True)
-            add_cookie(by_cookie, target)
+            index_by_cookie(by_cookie, target)
             if not is_zone_open(target.zone, drained_zones):
                 drained_services.add(target.service)
             elif accepts_new_flows(target):
--- a/cornelgap/forwarding/directory_view.py
+++ b/cornelgap/forwarding/directory_view.py
@@ -161,7 +161,7 @@
     return zone not in drained_zones
 
 
-def add_cookie(by_cookie, target):
+def index_by_cookie(by_cookie, target):
     """Add a target to an index by cookie; None marks a shared cookie."""
     known = by_cookie.get(target.cookie, target)
     if known is not None and known.identity != target.identity:
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -41,10 +41,10 @@
 
 
 def take_last_twin(patches):
-    def add_cookie(by_cookie, target):
+    def index_by_cookie(by_cookie, target):
         by_cookie[target.cookie] = target
 
-    patches.replace_function(directory.add_cookie, add_cookie)
+    patches.replace_function(directory.index_by_cookie, index_by_cookie)
 
 
 def reset_unknown(patches):
