--- a/cornelgap/forwarding/directory_log.py
+++ b/cornelgap/forwarding/directory_log.py
@@ -26,7 +26,7 @@
     )
 
 
-def log_drained(directory, origin):
+def log_drained_zones(directory, origin):
     """Log that the set of drained zones has changed."""
     _LOG.info(
         'directory: drained zones changed',
@@ -52,7 +52,7 @@
     )
 
 
-def log_changes(changes, origin):
+def log_target_changes(changes, origin):
     """Log each of some changes of targets.
 
     :param changes: tuples (name, target or None, revision of its entry);
@@ -70,7 +70,7 @@
         )
 
 
-def log_refused(kind, origin, stamp, known, target=''):
+def log_refused_update(kind, origin, stamp, known, target=''):
     """Log that a fact was refused because a newer one is known.
 
     :param kind: ``routes``, ``targets`` or ``drained_zones``.
--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -23,7 +23,7 @@
     if changed:
         directory_log.log_routes(directory, STORE, now)
     elif fact.stamp < directory.routes_stamp:
-        directory_log.log_refused(
+        directory_log.log_refused_update(
             'routes', STORE, fact.stamp, directory.routes_stamp
         )
     return changed
@@ -37,7 +37,7 @@
 def take_list(directory, fact, now):
     """Apply :class:`~cornelgap.forwarding.facts.TargetsListed`."""
     if fact.stamp < directory.targets_stamp:
-        directory_log.log_refused(
+        directory_log.log_refused_update(
             'targets', STORE, fact.stamp, directory.targets_stamp
         )
     changed = directory.adopt_targets(fact.targets, fact.stamp, fact.as_of, now)
@@ -50,10 +50,10 @@
     """Apply :class:`~cornelgap.forwarding.facts.TargetsChanged`."""
     accepted, refused = _split_changes(directory, fact)
     changed = directory.apply_targets(fact.changes, fact.stamp, fact.as_of, now)
-    directory_log.log_changes(accepted, STORE)
+    directory_log.log_target_changes(accepted, STORE)
     for name, _, revision in refused:
         stamp = Stamp(fact.stamp.era, revision)
-        directory_log.log_refused(
+        directory_log.log_refused_update(
             'targets', STORE, stamp, directory.targets_stamp, name
         )
     return changed
@@ -68,9 +68,9 @@
     drained_before = directory.drained_zones
     news = compare_beat(directory, beat, changes, now)
     if directory.drained_zones != drained_before:
-        directory_log.log_drained(directory, beat.name)
+        directory_log.log_drained_zones(directory, beat.name)
     if News.CHANGED in news:
-        directory_log.log_changes(changes, beat.name)
+        directory_log.log_target_changes(changes, beat.name)
     return news
 
 
@@ -105,12 +105,12 @@
 
 def _adopt_drained(directory, zones, stamp, origin, now):
     if stamp < directory.drained_stamp:
-        directory_log.log_refused(
+        directory_log.log_refused_update(
             'drained_zones', origin, stamp, directory.drained_stamp
         )
     changed = directory.adopt_drained_zones(zones, stamp, now)
     if changed:
-        directory_log.log_drained(directory, origin)
+        directory_log.log_drained_zones(directory, origin)
     return changed
 
 
