--- a/cornelgap/forwarding/admission_control.py
+++ b/cornelgap/forwarding/admission_control.py
@@ -93,7 +93,7 @@
             priority = route.policy.priority
             if priority is None:
                 continue
-            for service, _ in route.shares:
+            for service, _ in route.weighted_services:
                 priority_by_route.setdefault(service, {})[route_key] = priority
         for name in self._services.keys() - priority_by_route.keys():
             self._services.pop(name)
--- a/cornelgap/forwarding/directory_view.py
+++ b/cornelgap/forwarding/directory_view.py
@@ -27,14 +27,14 @@
 class Route(Struct, frozen=True):
     """The services to which new flows to one address and port may go.
 
-    :param shares: tuples (service, weight); weights are positive.
+    :param weighted_services: tuples (service, weight); weights are positive.
     :param policy: :class:`RequestPolicy` of the requests on this route.
     """
 
     name: str
     address: int
     port: int
-    shares: tuple
+    weighted_services: tuple
     policy: RequestPolicy = RequestPolicy()
 
 
--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -327,7 +327,7 @@
         again within a second, and the caller repeats its SYN in that time.
         A drained zone is known as such even if the directory is outdated.
         """
-        services = [service for service, _ in route.shares]
+        services = [service for service, _ in route.weighted_services]
         listed = (self.view.by_service.get(name, ()) for name in services)
         if any(self.view.is_cold(item, now) for item in chain(*listed)):
             return Drop(Reason.COLD_TARGETS)
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -101,7 +101,7 @@
         if zones is None:
             zones = self._zones_by_route[route] = frozenset(
                 target.zone
-                for service, _ in route.shares
+                for service, _ in route.weighted_services
                 for target in view.by_service.get(service, ())
             )
         return zones
--- a/cornelgap/forwarding/packet_checks.py
+++ b/cornelgap/forwarding/packet_checks.py
@@ -79,12 +79,12 @@
 
     :returns: list of names, the chosen one first.
     """
-    names = [service for service, _ in route.shares]
+    names = [service for service, _ in route.weighted_services]
     if len(names) == 1:
         return names
-    total = sum(weight for _, weight in route.shares)
+    total = sum(weight for _, weight in route.weighted_services)
     point = hash(packet.flow) % total
-    for position, (_, weight) in enumerate(route.shares):
+    for position, (_, weight) in enumerate(route.weighted_services):
         point -= weight
         if point < 0:
             return names[position:] + names[:position]
--- a/cornelgap/forwarding/peer_messages.py
+++ b/cornelgap/forwarding/peer_messages.py
@@ -306,7 +306,7 @@
         'routes_revision': directory.routes_stamp.revision,
         'routes_age': now - directory.routes_as_of,
         'routes': [
-            [route.name, route.address, route.port, route.shares]
+            [route.name, route.address, route.port, route.weighted_services]
             for route in directory.list_routes()
         ],
         # Not part of the routes: earlier versions expect four values of each.
--- a/cornelgap/platform/objects.py
+++ b/cornelgap/platform/objects.py
@@ -104,12 +104,12 @@
 def _load_route(item, policy):
     # The wire's `host` and `path_prefix` are an address and a port here.
     split = item.get('split') or [{'service': item['service'], 'weight': 1}]
-    shares = tuple(
+    weighted_services = tuple(
         (share['service'], share['weight'])
         for share in split
         if share['weight'] > 0
     )
-    if not shares:
+    if not weighted_services:
         # Choosing among none would end the packet actor, on all instances
         # at the same moment.
         raise ValueError('no service has a weight')
@@ -117,7 +117,7 @@
         name=item['name'],
         address=parse_ip(item['host']),
         port=int(item['path_prefix'].strip('/')),
-        shares=shares,
+        weighted_services=weighted_services,
         policy=policy,
     )
 
--- a/features/proofs/forwarding_desk.py
+++ b/features/proofs/forwarding_desk.py
@@ -25,8 +25,8 @@
 
 def make_route(*services, port=PORT):
     """Make a route whose services share alike."""
-    shares = tuple((service, 1) for service in services)
-    return Route(f'r-{port}', ADDRESS, port, shares)
+    weighted_services = tuple((service, 1) for service in services)
+    return Route(f'r-{port}', ADDRESS, port, weighted_services)
 
 
 def make_target(number, service='search', zone=ZONE, **changes):
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -217,7 +217,7 @@
     def order_services(route, packet):
         # Each instance draws for itself.
         draw_service.turn = (getattr(draw_service, 'turn', 0) + 1) % 2
-        return [route.shares[draw_service.turn][0]]
+        return [route.weighted_services[draw_service.turn][0]]
 
     patches.replace_function(packet_checks.order_services, order_services)
 
@@ -316,7 +316,7 @@
 
 def keep_to_service(patches):
     def order_services(route, packet):
-        names = [service for service, _ in route.shares]
+        names = [service for service, _ in route.weighted_services]
         return names[:1]
 
     patches.replace_function(packet_checks.order_services, order_services)
--- a/features/proofs/forwarding_stories.py
+++ b/features/proofs/forwarding_stories.py
@@ -389,8 +389,8 @@
 
 def play_split_copies():
     """Copies of one SYN reach two instances that choose by weight."""
-    shares = (('search', 9), ('archive', 1))
-    route = replace(make_route('search'), shares=shares)
+    weighted_services = (('search', 9), ('archive', 1))
+    route = replace(make_route('search'), weighted_services=weighted_services)
     archive = make_target(9, 'archive')
     services = set()
     found = []
@@ -428,10 +428,12 @@
 
 def play_split_in_reach():
     """A route's flows go to two services; one has no target in reach."""
-    shares = (('archive', 1), ('search', 9))
+    weighted_services = (('archive', 1), ('search', 9))
     archive = [make_target(number, 'archive', zone='b') for number in (7, 8)]
     desk = Desk()
-    desk.set_routes(replace(make_route('search'), shares=shares))
+    desk.set_routes(
+        replace(make_route('search'), weighted_services=weighted_services)
+    )
     desk.set_targets(SEARCH[0], *archive)
     for caller, target in zip((40001, 40002), archive, strict=True):
         desk.send(caller, target, ack=1)
--- a/features/steps/forwarding_property_steps.py
+++ b/features/steps/forwarding_property_steps.py
@@ -345,7 +345,7 @@
 def check_routes(context):
     routes, errors = objects.load_routes(context.spec)
     assert [route.port for route in routes] == [443, 80]
-    assert routes[1].shares == (('archive', 3),)
+    assert routes[1].weighted_services == (('archive', 3),)
     assert [exc.place for exc in errors] == ['config/main routes.1']
 
 
