--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -23,7 +23,7 @@
 
 READ_BATCH = 256
 DATAGRAM_BYTES = 2048
-HELD_S = 1.0
+MAX_PENDING_S = 1.0
 """Longest time for which packets may wait for the first directory.  Callers
 repeat a SYN after 0.2 and 0.6 s and abandon an attempt after 1.4 s; an
 opening that is forwarded later only occupies a target."""
@@ -242,7 +242,7 @@
     def _handle_pending_openings(self):
         """Handle the openings that arrived before the configuration."""
         openings, self._pending_openings = self._pending_openings, []
-        if self._turn_at - self._started_at > HELD_S:
+        if self._turn_at - self._started_at > MAX_PENDING_S:
             self.counts[Reason.ROUTES_UNKNOWN] += len(openings)
             return
         for packet in openings:
@@ -257,7 +257,7 @@
         """
         self._reading = True
         waited_s = self._turn_at - self._started_at
-        if waited_s > HELD_S:
+        if waited_s > MAX_PENDING_S:
             self.counts[Reason.NOT_FRESH] += discard_waiting(self._sock)
         _LOG.info(
             'forwarding: packets are read',
--- a/features/steps/forwarding_start_steps.py
+++ b/features/steps/forwarding_start_steps.py
@@ -55,9 +55,11 @@
 
 @given('its packets may wait for {seconds:d} s')
 def shorten_wait(context, seconds):
-    before = packet_actor.HELD_S
-    packet_actor.HELD_S = seconds
-    context.cleanups.append(lambda: setattr(packet_actor, 'HELD_S', before))
+    before = packet_actor.MAX_PENDING_S
+    packet_actor.MAX_PENDING_S = seconds
+    context.cleanups.append(
+        lambda: setattr(packet_actor, 'MAX_PENDING_S', before)
+    )
 
 
 def send_opening(context, port):
