--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -20,7 +20,7 @@
 from cornelgap.forwarding.beats import BeatSender
 from cornelgap.forwarding.directory import Directory
 from cornelgap.forwarding.facts import (
-    WAKE_S,
+    STANDSTILL_S,
     RoutesKnown,
     TargetsChanged,
     TargetsListed,
@@ -194,7 +194,7 @@
         stood still.
         """
         now = read_clock()
-        if now - self._received_at > WAKE_S:
+        if now - self._received_at > STANDSTILL_S:
             discard_waiting(self._sock)
         self._received_at = now
         return super().on_receive(message)
--- a/cornelgap/forwarding/facts.py
+++ b/cornelgap/forwarding/facts.py
@@ -10,7 +10,7 @@
 
 from cornelgap.forwarding.stamps import ConfigStamp, Stamp
 
-WAKE_S = 0.75
+STANDSTILL_S = 0.75
 """Seconds between two turns of an actor after which the process counts as
 having stood still, for an actor has a tick every quarter of a second.
 Datagrams in the socket are then old, and the ages that they state are no
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from cornelgap.core.errors import CodedError
-from cornelgap.forwarding.facts import WAKE_S, read_clock
+from cornelgap.forwarding.facts import STANDSTILL_S, read_clock
 from cornelgap.forwarding.packets import SYN, Drop, Forward, Reason, Reset
 from cornelgap.forwarding.sockets import discard_waiting
 from cornelgap.forwarding.zone_standing import DropOpenings
@@ -212,7 +212,7 @@
     def on_receive(self, message):
         """Detect whether the process stood still, then handle the message."""
         now = read_clock()
-        if now - self._turn_at > WAKE_S:
+        if now - self._turn_at > STANDSTILL_S:
             self._handle_standstill(now)
         self._turn_at = now
         return super().on_receive(message)
