--- a/cornelgap/forwarding/engine.py
+++ b/cornelgap/forwarding/engine.py
@@ -22,7 +22,7 @@
 from cornelgap.forwarding.failure_detector import FailureDetector
 from cornelgap.forwarding.flow_evidence import FlowEvidence
 from cornelgap.forwarding.flows import FlowTable
-from cornelgap.forwarding.lifetimes import is_gone, list_reborn
+from cornelgap.forwarding.lifetimes import is_gone, list_restarted
 from cornelgap.forwarding.openings import OpeningTracker
 from cornelgap.forwarding.packet_checks import (
     choose_cookie,
@@ -104,7 +104,7 @@
 
     def adopt_view(self, view):
         """Use a newer view of the directory from the next packet on."""
-        for cookie in list_reborn(self.view, view):
+        for cookie in list_restarted(self.view, view):
             self.failure_detector.forget(cookie)
             self.flows.close_flows(cookie)
             self._remote_flows.pop(cookie, None)
--- a/cornelgap/forwarding/lifetimes.py
+++ b/cornelgap/forwarding/lifetimes.py
@@ -4,7 +4,7 @@
 """
 
 
-def list_reborn(before, view):
+def list_restarted(before, view):
     """Return the cookies of targets that have restarted.
 
     A target may restart under its old name, and has lost all flows and
@@ -19,11 +19,11 @@
     return [
         cookie
         for cookie, target in view.by_cookie.items()
-        if target is not None and is_reborn(before.find(cookie), target)
+        if target is not None and has_restarted(before.find(cookie), target)
     ]
 
 
-def is_reborn(before, target):
+def has_restarted(before, target):
     """Say whether a target has restarted since it was last known.
 
     :param before: the target of the same cookie in the previous view, or
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -300,7 +300,9 @@
 
 
 def know_one_lifetime(patches):
-    patches.replace_function(lifetimes.is_reborn, lambda before, target: False)
+    patches.replace_function(
+        lifetimes.has_restarted, lambda before, target: False
+    )
 
 
 def leave_out_unreadable(patches):
