--- a/cornelgap/forwarding/buckets.py
+++ b/cornelgap/forwarding/buckets.py
@@ -5,7 +5,7 @@
 objectives."""
 
 
-class Buckets:
+class DurationHistogram:
     """Cumulative counts of durations by upper bound.
 
     :ivar counts: number of durations up to each bound, by the bound as text;
--- a/cornelgap/forwarding/flow_evidence.py
+++ b/cornelgap/forwarding/flow_evidence.py
@@ -7,7 +7,7 @@
 """
 
 from cornelgap.forwarding import packets as pkt
-from cornelgap.forwarding.buckets import Buckets
+from cornelgap.forwarding.buckets import DurationHistogram
 from cornelgap.forwarding.packet_checks import is_repeat
 from cornelgap.forwarding.request_watch import RequestWatch
 
@@ -32,7 +32,7 @@
         self._flows = flows
         self._failure_detector = failure_detector
         self._request_watch = RequestWatch()
-        self.answers = Buckets()
+        self.answers = DurationHistogram()
 
     def keep_routes(self, route_keys):
         """Drop the averages of all routes but these."""
