--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -33,7 +33,7 @@
 from cornelgap.forwarding.neighbours import (
     Neighbours,
 )
-from cornelgap.forwarding.news import News
+from cornelgap.forwarding.news import BeatEffect
 from cornelgap.forwarding.packet_actor import (
     FORWARDING,
     AdoptView,
@@ -266,11 +266,11 @@
         """Adopt what is newer in a beat; fetch a snapshot if that is not all."""
         now = self._received_at
         news = intake.take_beat(self._directory, beat, changes, now)
-        if News.BEHIND in news:
+        if BeatEffect.BEHIND in news:
             fetch = Fetch(beat.host, self._beat_sender.key)
             tell_actor(self.scope, FETCHER, fetch)
-        if news & {News.CHANGED, News.CONFIRMED}:
-            self._update_packet_actor(News.CHANGED in news)
+        if news & {BeatEffect.CHANGED, BeatEffect.CONFIRMED}:
+            self._update_packet_actor(BeatEffect.CHANGED in news)
 
     def _handle_snapshot(self, message):
         now = self._received_at
--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -5,7 +5,7 @@
 """
 
 from cornelgap.forwarding import directory_log
-from cornelgap.forwarding.news import News, compare_beat
+from cornelgap.forwarding.news import BeatEffect, update_from_beat
 from cornelgap.forwarding.stamps import Stamp
 
 STORE = 'store'
@@ -63,13 +63,13 @@
     """Apply what the beat of another instance says of the directory.
 
     :param changes: the beat's changes of targets, decoded.
-    :returns: set of :class:`~cornelgap.forwarding.news.News`.
+    :returns: set of :class:`~cornelgap.forwarding.news.BeatEffect`.
     """
     drained_before = directory.drained_zones
-    news = compare_beat(directory, beat, changes, now)
+    news = update_from_beat(directory, beat, changes, now)
     if directory.drained_zones != drained_before:
         directory_log.log_drained_zones(directory, beat.name)
-    if News.CHANGED in news:
+    if BeatEffect.CHANGED in news:
         directory_log.log_target_changes(changes, beat.name)
     return news
 
--- a/cornelgap/forwarding/news.py
+++ b/cornelgap/forwarding/news.py
@@ -9,7 +9,7 @@
 import enum
 
 
-class News(enum.Enum):
+class BeatEffect(enum.Enum):
     """Effect of a beat on one kind of facts: routes, targets or drained zones.
 
     NONE: the beat says nothing new of it, or its sender is behind.
@@ -24,7 +24,7 @@
     BEHIND = 'behind'
 
 
-def compare_beat(directory, beat, changes, now):
+def update_from_beat(directory, beat, changes, now):
     """Apply to the directory what a beat confirms or changes.
 
     :param directory: :class:`~cornelgap.forwarding.directory.Directory`,
@@ -32,50 +32,52 @@
     :param beat: :class:`~cornelgap.forwarding.peer_messages.Beat`.
     :param changes: the beat's changes of targets, decoded.
     :param now: process clock seconds.
-    :returns: set of :class:`News`, one for each kind of facts.
+    :returns: set of :class:`BeatEffect`, one for each kind of facts.
     """
     return {
-        compare_drained(directory, beat, now),
-        _compare_routes(directory, beat, now),
-        _compare_targets(directory, beat, changes, now),
+        update_drained_zones(directory, beat, now),
+        _update_routes(directory, beat, now),
+        _update_targets(directory, beat, changes, now),
     }
 
 
-def _compare_routes(directory, beat, now):
+def _update_routes(directory, beat, now):
     if beat.routes_age is None:
-        return News.NONE
+        return BeatEffect.NONE
     if beat.routes_stamp > directory.routes_stamp:
-        return News.BEHIND
+        return BeatEffect.BEHIND
     if beat.routes_stamp < directory.routes_stamp:
-        return News.NONE
+        return BeatEffect.NONE
     directory.confirm_routes(now - beat.routes_age)
-    return News.CONFIRMED
+    return BeatEffect.CONFIRMED
 
 
-def compare_drained(directory, beat, now):
+def update_drained_zones(directory, beat, now):
     """Apply the orders to drain zones, which each beat holds in full."""
     if not beat.drained_revision:
-        return News.NONE
+        return BeatEffect.NONE
     changed = directory.adopt_drained_zones(
         beat.drained_zones, beat.drained_stamp, now
     )
-    return News.CHANGED if changed else News.NONE
+    return BeatEffect.CHANGED if changed else BeatEffect.NONE
 
 
-def _compare_targets(directory, beat, changes, now):
+def _update_targets(directory, beat, changes, now):
     if beat.targets_age is None:
-        return News.NONE
+        return BeatEffect.NONE
     if directory.targets_as_of is None:
-        return News.BEHIND
+        return BeatEffect.BEHIND
     if beat.targets_stamp.era != directory.targets_stamp.era:
         is_ahead = beat.targets_stamp > directory.targets_stamp
-        return News.BEHIND if is_ahead else News.NONE
+        return BeatEffect.BEHIND if is_ahead else BeatEffect.NONE
     known = directory.targets_stamp.revision
     as_of = now - beat.targets_age
     if beat.targets_changed <= known <= beat.targets_revision:
         changed = directory.apply_targets((), beat.targets_stamp, as_of, now)
-        return News.CHANGED if changed else News.CONFIRMED
+        return BeatEffect.CHANGED if changed else BeatEffect.CONFIRMED
     if changes and beat.since <= known < beat.targets_revision:
         directory.apply_targets(changes, beat.targets_stamp, as_of, now)
-        return News.CHANGED
-    return News.BEHIND if beat.targets_changed > known else News.NONE
+        return BeatEffect.CHANGED
+    return (
+        BeatEffect.BEHIND if beat.targets_changed > known else BeatEffect.NONE
+    )
--- a/features/proofs/drain_stories.py
+++ b/features/proofs/drain_stories.py
@@ -8,7 +8,7 @@
 
 from cornelgap.forwarding import peer_messages as peers
 from cornelgap.forwarding.directory import Directory
-from cornelgap.forwarding.news import compare_beat
+from cornelgap.forwarding.news import update_from_beat
 from features.proofs.forwarding_desk import (
     Desk,
     get_target,
@@ -158,7 +158,7 @@
     beat.drained_zones = sorted(directory.drained_zones)
     beat.drained_revision = directory.drained_stamp.revision
     read = peers.decode_beat(peers.encode_beat(beat, KEY), KEY)
-    compare_beat(desk.directory, read, [], desk.now)
+    update_from_beat(desk.directory, read, [], desk.now)
     desk.show()
     opened = [desk.open(caller) for caller in range(50000, 50020)]
     return find_flows_in('a', opened)
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -349,7 +349,8 @@
 
 def skip_told_drains(patches):
     patches.replace_function(
-        news.compare_drained, lambda directory, beat, now: news.News.NONE
+        news.update_drained_zones,
+        lambda directory, beat, now: news.BeatEffect.NONE,
     )
 
 
--- a/features/proofs/restore_world.py
+++ b/features/proofs/restore_world.py
@@ -20,7 +20,7 @@
 )
 from cornelgap.forwarding.fetcher import SnapshotFetched
 from cornelgap.forwarding.neighbours import Neighbours, Self
-from cornelgap.forwarding.news import News
+from cornelgap.forwarding.news import BeatEffect
 from cornelgap.platform.sources import StoreSource
 from cornelgap.platform.store import StoreClient, StoreError
 from standins.object_store import ObjectStore, start_store
@@ -176,11 +176,11 @@
     def hear(self, other):
         """Take in another instance's beat, and its snapshot if behind.
 
-        :returns: set of :class:`~cornelgap.forwarding.news.News`.
+        :returns: set of :class:`~cornelgap.forwarding.news.BeatEffect`.
         """
         beat = peer_messages.decode_beat(other.make_beat(), KEY)
         news = intake.take_beat(self.directory, beat, [], self.now)
-        if News.BEHIND in news:
+        if BeatEffect.BEHIND in news:
             raw = peer_messages.pack_snapshot(other.directory, self.now, KEY)
             snapshot = peer_messages.unpack_snapshot(raw, self.now, KEY)
             message = SnapshotFetched('10.0.9.1', snapshot, self.now)
