--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -203,21 +203,23 @@
 
     def _handle_routes(self, fact):
         self._distribute(
-            intake.take_routes(self._directory, fact, self._received_at)
+            intake.apply_routes(self._directory, fact, self._received_at)
         )
 
     def _handle_drained_zones(self, fact):
-        if intake.take_drained(self._directory, fact, self._received_at):
+        if intake.apply_drained_zones(self._directory, fact, self._received_at):
             self._distribute(changed=True)
 
     def _handle_target_list(self, fact):
         self._distribute(
-            intake.take_list(self._directory, fact, self._received_at)
+            intake.apply_target_list(self._directory, fact, self._received_at)
         )
 
     def _handle_target_changes(self, fact):
         since = self._directory.targets_stamp.revision
-        changed = intake.take_changes(self._directory, fact, self._received_at)
+        changed = intake.apply_target_changes(
+            self._directory, fact, self._received_at
+        )
         self._distribute(changed, fact.changes if changed else (), since)
 
     # Updates from other instances.
@@ -265,7 +267,7 @@
     def _apply_beat(self, beat, changes):
         """Adopt what is newer in a beat; fetch a snapshot if that is not all."""
         now = self._received_at
-        news = intake.take_beat(self._directory, beat, changes, now)
+        news = intake.apply_beat(self._directory, beat, changes, now)
         if BeatEffect.BEHIND in news:
             fetch = Fetch(beat.host, self._beat_sender.key)
             tell_actor(self.scope, FETCHER, fetch)
@@ -275,7 +277,7 @@
     def _handle_snapshot(self, message):
         now = self._received_at
         self._zone_standing.take_snapshot(message.snapshot, message.host, now)
-        self._distribute(intake.take_snapshot(self._directory, message, now))
+        self._distribute(intake.apply_snapshot(self._directory, message, now))
 
     def _make_snapshot(self, _message):
         if self._beat_sender.key is None or not self._directory.complete:
--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -12,7 +12,7 @@
 """Origin, in log lines, of facts that this instance has read itself."""
 
 
-def take_routes(directory, fact, now):
+def apply_routes(directory, fact, now):
     """Apply :class:`~cornelgap.forwarding.facts.RoutesKnown`."""
     if fact.routes is None:
         directory.confirm_routes(fact.as_of)
@@ -29,12 +29,12 @@
     return changed
 
 
-def take_drained(directory, fact, now):
+def apply_drained_zones(directory, fact, now):
     """Apply :class:`~cornelgap.forwarding.facts.ZonesDrained`."""
     return _adopt_drained(directory, fact.zones, fact.stamp, STORE, now)
 
 
-def take_list(directory, fact, now):
+def apply_target_list(directory, fact, now):
     """Apply :class:`~cornelgap.forwarding.facts.TargetsListed`."""
     if fact.stamp < directory.targets_stamp:
         directory_log.log_refused_update(
@@ -46,7 +46,7 @@
     return changed
 
 
-def take_changes(directory, fact, now):
+def apply_target_changes(directory, fact, now):
     """Apply :class:`~cornelgap.forwarding.facts.TargetsChanged`."""
     accepted, refused = _split_changes(directory, fact)
     changed = directory.apply_targets(fact.changes, fact.stamp, fact.as_of, now)
@@ -59,7 +59,7 @@
     return changed
 
 
-def take_beat(directory, beat, changes, now):
+def apply_beat(directory, beat, changes, now):
     """Apply what the beat of another instance says of the directory.
 
     :param changes: the beat's changes of targets, decoded.
@@ -74,7 +74,7 @@
     return news
 
 
-def take_snapshot(directory, message, now):
+def apply_snapshot(directory, message, now):
     """Apply :class:`~cornelgap.forwarding.fetcher.SnapshotFetched`."""
     snapshot = message.snapshot
     drained_changed = _adopt_drained(
--- a/features/proofs/restore_world.py
+++ b/features/proofs/restore_world.py
@@ -31,10 +31,10 @@
 SERVICE = 'booking'
 KEY = b'k' * 32
 _TAKE = {
-    RoutesKnown: intake.take_routes,
-    TargetsChanged: intake.take_changes,
-    TargetsListed: intake.take_list,
-    ZonesDrained: intake.take_drained,
+    RoutesKnown: intake.apply_routes,
+    TargetsChanged: intake.apply_target_changes,
+    TargetsListed: intake.apply_target_list,
+    ZonesDrained: intake.apply_drained_zones,
 }
 
 
@@ -179,12 +179,12 @@
         :returns: set of :class:`~cornelgap.forwarding.news.BeatEffect`.
         """
         beat = peer_messages.decode_beat(other.make_beat(), KEY)
-        news = intake.take_beat(self.directory, beat, [], self.now)
+        news = intake.apply_beat(self.directory, beat, [], self.now)
         if BeatEffect.BEHIND in news:
             raw = peer_messages.pack_snapshot(other.directory, self.now, KEY)
             snapshot = peer_messages.unpack_snapshot(raw, self.now, KEY)
             message = SnapshotFetched('10.0.9.1', snapshot, self.now)
-            intake.take_snapshot(self.directory, message, self.now)
+            intake.apply_snapshot(self.directory, message, self.now)
         return news
 
     def make_beat(self):
--- a/features/steps/store_restore_steps.py
+++ b/features/steps/store_restore_steps.py
@@ -56,7 +56,7 @@
     stamp = Stamp(directory.targets_stamp.era, revision - 1)
     old = TargetsChanged(((target.name, target, stamp.revision),), stamp, 0)
     context.lines.records.clear()
-    intake.take_changes(directory, old, context.reader.now)
+    intake.apply_target_changes(directory, old, context.reader.now)
 
 
 @then('it is logged as refused, with both revisions, and not as taken')
