--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -37,9 +37,9 @@
 from cornelgap.forwarding.packet_actor import (
     FORWARDING,
     AdoptView,
-    EvidenceSeen,
-    LoadSeen,
-    OthersEvidence,
+    LocalEvidence,
+    LocalLoads,
+    PeerEvidence,
     ZoneMembers,
 )
 from cornelgap.forwarding.reports import Reports
@@ -158,9 +158,9 @@
         self.handlers = {
             AdoptSettings: self._adopt_settings,
             AnnounceLeaving: self._announce_leaving,
-            EvidenceSeen: self._handle_evidence,
+            LocalEvidence: self._handle_evidence,
             KeyKnown: self._handle_key,
-            LoadSeen: self._handle_load,
+            LocalLoads: self._handle_load,
             ReadMetrics: self._collect_metrics,
             ReadSnapshot: self._make_snapshot,
             SocketReadable: self._read_datagrams,
@@ -255,7 +255,7 @@
             beat.repeats, beat.answers, beat.answer_ages, beat.copies
         )
         if evidence:
-            found = OthersEvidence(beat.name, evidence)
+            found = PeerEvidence(beat.name, evidence)
             self._send_to_packet_actor(found)
         if not beat.leaving:
             self._apply_beat(beat, changes)
--- a/cornelgap/forwarding/packet_actor.py
+++ b/cornelgap/forwarding/packet_actor.py
@@ -71,7 +71,7 @@
     limit: object
 
 
-class LoadSeen(Struct, frozen=True):
+class LocalLoads(Struct, frozen=True):
     """Message: load of the targets as this instance sees it.
 
     :param loads: number of flows by target cookie.
@@ -90,13 +90,13 @@
 class ZoneOutcomes(Struct, frozen=True):
     """Message: how requests through all instances of the zone have ended.
 
-    :param outcomes: by target cookie, as in :class:`LoadSeen`.
+    :param outcomes: by target cookie, as in :class:`LocalLoads`.
     """
 
     outcomes: dict
 
 
-class OthersLoad(Struct, frozen=True):
+class PeerLoads(Struct, frozen=True):
     """Message: load of the targets as other instances see it.
 
     :param loads: number of flows by target cookie.
@@ -121,7 +121,7 @@
     names: frozenset
 
 
-class EvidenceSeen(Struct, frozen=True):
+class LocalEvidence(Struct, frozen=True):
     """Message: evidence from this instance's flows on the health of targets.
 
     :param evidence: :class:`~cornelgap.forwarding.failure_detector.Evidence`.
@@ -130,7 +130,7 @@
     evidence: object
 
 
-class OthersEvidence(Struct, frozen=True):
+class PeerEvidence(Struct, frozen=True):
     """Message: evidence on the health of targets from another instance.
 
     :param instance: name of that instance.
@@ -196,8 +196,8 @@
             AdoptColdLimit: self._adopt_cold_limit,
             AdoptView: self._adopt_view,
             DropOpenings: self._drop_openings,
-            OthersEvidence: self._note_evidence,
-            OthersLoad: self._note_others_load,
+            PeerEvidence: self._note_evidence,
+            PeerLoads: self._note_peer_loads,
             SocketReadable: self._read,
             ReadCounts: self._get_counts,
             Tick: self._tick,
@@ -272,7 +272,7 @@
     def _report_evidence(self):
         evidence = self._engine.failure_detector.take_evidence()
         if evidence:
-            self._tell(EvidenceSeen(evidence))
+            self._tell(LocalEvidence(evidence))
             self._reset_lost_flows()
 
     def _reset_lost_flows(self):
@@ -407,7 +407,7 @@
             message.instance, message.evidence, self._turn_at
         )
         if alive:
-            self._tell(EvidenceSeen(alive))
+            self._tell(LocalEvidence(alive))
         self._reset_lost_flows()
 
     def _tell(self, message):
@@ -426,7 +426,7 @@
     def _drop_openings(self, message):
         self._engine.openings.drop_until(self._turn_at + message.for_s)
 
-    def _note_others_load(self, message):
+    def _note_peer_loads(self, message):
         self._engine.note_other_instances(
             message.loads,
             message.instances,
@@ -441,7 +441,7 @@
         self._report_evidence()
         self._reset_lost_flows()
         flows = self._engine.flows
-        report = LoadSeen(
+        report = LocalLoads(
             flows.count_flows(),
             self._engine.failure_detector.take_outcomes(),
             self._engine.make_opening_report(self._turn_at),
--- a/cornelgap/forwarding/reports.py
+++ b/cornelgap/forwarding/reports.py
@@ -5,7 +5,7 @@
 """
 
 from cornelgap.forwarding.neighbours import add_loads, add_outcomes
-from cornelgap.forwarding.packet_actor import OthersLoad, ZoneOutcomes
+from cornelgap.forwarding.packet_actor import PeerLoads, ZoneOutcomes
 
 
 class Reports:
@@ -29,7 +29,7 @@
     def take_own(self, message):
         """Store the loads and add up the outcomes of the own packet actor.
 
-        :param message: :class:`~cornelgap.forwarding.packet_actor.LoadSeen`.
+        :param message: :class:`~cornelgap.forwarding.packet_actor.LocalLoads`.
         """
         self._own_loads = message.loads
         add_outcomes(self._pending_outcomes, message.outcomes)
@@ -68,7 +68,7 @@
         """
         neighbours = self._neighbours
         other_loads = neighbours.sum_others(self._last_reported_loads, now)
-        message = OthersLoad(
+        message = PeerLoads(
             other_loads,
             neighbours.count_zone(),
             neighbours.choose_load_pause(),
