--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -42,7 +42,7 @@
     PeerEvidence,
     ZoneMembers,
 )
-from cornelgap.forwarding.reports import Reports
+from cornelgap.forwarding.reports import ReportExchange
 from cornelgap.forwarding.sockets import discard_waiting, open_socket
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from cornelgap.kernel.inbox import SocketInbox, SocketReadable, Tick
@@ -136,7 +136,7 @@
             self._sock,
             port,
         )
-        self._reports = Reports(
+        self._reports = ReportExchange(
             self._neighbours, self._send_to_packet_actor, self._send_loads
         )
         self._zone_standing = ZoneStanding(
@@ -250,7 +250,7 @@
         self._zone_standing.take_beat(beat, self._received_at)
         if beat.hello:
             self._answer_hello(host, beat.zone)
-        self._reports.take_told(beat)
+        self._reports.note_beat_outcomes(beat)
         evidence = Evidence(
             beat.repeats, beat.answers, beat.answer_ages, beat.copies
         )
@@ -403,7 +403,7 @@
             self._send_beat(far_hosts, '', zone_loads=own_loads)
 
     def _handle_load(self, message):
-        self._reports.take_own(message)
+        self._reports.note_local_loads(message)
         if self._zone_standing.take_opening_report(message.opening_report):
             hosts = self._neighbours.list_near_hosts()
             self._send_beat(hosts, self._own.zone)
--- a/cornelgap/forwarding/reports.py
+++ b/cornelgap/forwarding/reports.py
@@ -8,7 +8,7 @@
 from cornelgap.forwarding.packet_actor import PeerLoads, ZoneOutcomes
 
 
-class Reports:
+class ReportExchange:
     """Collects loads and outcomes and reports them when they are due.
 
     :param neighbours: :class:`~cornelgap.forwarding.neighbours.Neighbours`.
@@ -26,7 +26,7 @@
         self._last_reported_loads = {}
         self._pending_outcomes = {}
 
-    def take_own(self, message):
+    def note_local_loads(self, message):
         """Store the loads and add up the outcomes of the own packet actor.
 
         :param message: :class:`~cornelgap.forwarding.packet_actor.LocalLoads`.
@@ -34,7 +34,7 @@
         self._own_loads = message.loads
         add_outcomes(self._pending_outcomes, message.outcomes)
 
-    def take_told(self, beat):
+    def note_beat_outcomes(self, beat):
         """Handle the outcomes in a beat of another instance.
 
         Sums of the own zone go to the packet actor; the first hub adds up
