--- a/cornelgap/forwarding/intake.py
+++ b/cornelgap/forwarding/intake.py
@@ -66,12 +66,12 @@
     :returns: set of :class:`~cornelgap.forwarding.news.BeatEffect`.
     """
     drained_before = directory.drained_zones
-    news = update_from_beat(directory, beat, changes, now)
+    effects = update_from_beat(directory, beat, changes, now)
     if directory.drained_zones != drained_before:
         directory_log.log_drained_zones(directory, beat.name)
-    if BeatEffect.CHANGED in news:
+    if BeatEffect.CHANGED in effects:
         directory_log.log_target_changes(changes, beat.name)
-    return news
+    return effects
 
 
 def apply_snapshot(directory, message, now):
