--- a/cornelgap/forwarding/peer_messages.py
+++ b/cornelgap/forwarding/peer_messages.py
@@ -197,7 +197,7 @@
     body = json.dumps(content, separators=(',', ':'), default=astuple).encode()
     if len(body) > COMPRESS_ABOVE_BYTES:
         body = zlib.compress(body, 1)
-    return seal(body, key)
+    return sign_message(body, key)
 
 
 def decode_beat(raw, key):
@@ -206,7 +206,7 @@
     :raises CodedError: ``NET-002`` if the keyed hash does not match,
         ``PKT-002`` for another version, ``PKT-007`` for a malformed field.
     """
-    content = _parse_json(_decompress(unseal(raw, key)))
+    content = _parse_json(_decompress(verify_message(raw, key)))
     known = {name: content[name] for name in _FIELD_NAME_SET & content.keys()}
     try:
         beat = Beat(**known)
@@ -220,14 +220,14 @@
     return beat
 
 
-def seal(body, key):
+def sign_message(body, key):
     """Prefix a body with the version and a keyed hash of both."""
     head = bytes([VERSION])
     return head + _compute_tag(head + body, key) + body
 
 
-def unseal(raw, key):
-    """Check and remove the prefix that :func:`seal` has added.
+def verify_message(raw, key):
+    """Check and remove the prefix that :func:`sign_message` has added.
 
     :param key: None to check the version only, for bytes received over a
         connection to an address from the settings.
@@ -239,11 +239,11 @@
     body = raw[1 + TAG_BYTES :]
     tag = raw[1 : 1 + TAG_BYTES]
     if key is not None:
-        check_tag(tag, _compute_tag(raw[:1] + body, key))
+        verify_tag(tag, _compute_tag(raw[:1] + body, key))
     return body
 
 
-def check_tag(received, expected):
+def verify_tag(received, expected):
     """Compare a received keyed hash with the expected one.
 
     Any host on the network can send to this port.  If unauthenticated
@@ -330,7 +330,7 @@
         ],
         **standing,
     }
-    return seal(zlib.compress(json.dumps(content).encode(), 1), key)
+    return sign_message(zlib.compress(json.dumps(content).encode(), 1), key)
 
 
 class Snapshot(Struct, frozen=True):
@@ -361,12 +361,12 @@
 def unpack_snapshot(raw, now, key):
     """Decode the output of :func:`pack_snapshot`.
 
-    :param key: as for :func:`unseal`.
+    :param key: as for :func:`verify_message`.
     :raises CodedError: as :func:`decode_beat` does.
     """
     unpacker = zlib.decompressobj()
     try:
-        body = unpacker.decompress(unseal(raw, key), MAX_SNAPSHOT_BYTES)
+        body = unpacker.decompress(verify_message(raw, key), MAX_SNAPSHOT_BYTES)
         content = _parse_json(body)
         changes = [load_change(item, now) for item in content['targets']]
         return Snapshot(
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -210,7 +210,9 @@
 
 
 def believe_strangers(patches):
-    patches.replace_function(peer_messages.check_tag, lambda found, right: None)
+    patches.replace_function(
+        peer_messages.verify_tag, lambda found, right: None
+    )
 
 
 def draw_service(patches):
--- a/features/steps/forwarding_property_steps.py
+++ b/features/steps/forwarding_property_steps.py
@@ -169,7 +169,11 @@
     @vary(st.binary(max_size=60), st.dictionaries(fields, inner, max_size=8))
     def search(noise, content):
         body = json.dumps(content).encode()
-        for raw in (noise, peers.seal(noise, KEY), peers.seal(body, KEY)):
+        for raw in (
+            noise,
+            peers.sign_message(noise, KEY),
+            peers.sign_message(body, KEY),
+        ):
             try:
                 beat = peers.decode_beat(raw, KEY)
                 for item in beat.changes:
@@ -192,7 +196,7 @@
         assert peers.decode_beat(peers.encode_beat(beat, KEY), KEY) == beat
         content = json.loads(peers.encode_beat(beat, KEY)[17:])
         content['of_a_later_version'] = [1, 2]
-        raw = peers.seal(json.dumps(content).encode(), KEY)
+        raw = peers.sign_message(json.dumps(content).encode(), KEY)
         assert peers.decode_beat(raw, KEY) == beat
 
     search()
@@ -402,7 +406,7 @@
 
 @then('bent copies of it are refused with a code or read as they were')
 def check_bent_beats(context):
-    body = peers.unseal(context.raw, KEY)
+    body = peers.verify_message(context.raw, KEY)
     for _ in range(200):
         bent = bytearray(body)
         bent[context.rng.randrange(1, len(bent))] ^= 1 << context.rng.randrange(
@@ -411,7 +415,7 @@
         cut = bytes(bent[: context.rng.randrange(2, len(bent) + 1)])
         for content in (bytes(bent), cut):
             try:
-                beat = peers.decode_beat(peers.seal(content, KEY), KEY)
+                beat = peers.decode_beat(peers.sign_message(content, KEY), KEY)
             except CodedError:
                 continue
             assert isinstance(beat, peers.Beat)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -89,9 +89,9 @@
 @then('a snapshot without policies still loads')
 def check_old_snapshot(context):
     raw = pack_routes(context.routes)
-    content = json.loads(zlib.decompress(peers.unseal(raw, KEY)))
+    content = json.loads(zlib.decompress(peers.verify_message(raw, KEY)))
     content.pop('policies')
-    old = peers.seal(zlib.compress(json.dumps(content).encode()), KEY)
+    old = peers.sign_message(zlib.compress(json.dumps(content).encode()), KEY)
     snapshot = peers.unpack_snapshot(old, 2, KEY)
     assert len(snapshot.routes) == len(context.routes)
     assert {route.policy for route in snapshot.routes} == {RequestPolicy()}
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -176,7 +176,7 @@
 def check_refused(context, field, text, code):
     content = {'name': 'n1', 'zone': 'b', 'host': 'h', 'boot': 1}
     content[field] = json.loads(text)
-    raw = peers.seal(json.dumps(content).encode(), KEY)
+    raw = peers.sign_message(json.dumps(content).encode(), KEY)
     check_code(code, lambda sealed: peers.decode_beat(sealed, KEY), raw)
 
 
