--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -227,7 +227,7 @@
     def _read_datagrams(self, _message):
         for _ in range(READ_BATCH):
             try:
-                raw, (host, _) = self._sock.recvfrom(peers.MAX_BYTES)
+                raw, (host, _) = self._sock.recvfrom(peers.MAX_BEAT_BYTES)
             except BlockingIOError:
                 return
             except OSError as exc:
@@ -240,7 +240,7 @@
         try:
             beat = peers.decode_beat(raw, self._beat_sender.key)
             changes = [
-                peers.load_change(item, self._received_at)
+                peers.decode_change(item, self._received_at)
                 for item in beat.changes
             ]
         except CodedError as exc:
@@ -284,7 +284,7 @@
             return b''
         now = read_clock()
         zone_report = self._zone_standing.make_beat_fields(now)
-        return peers.pack_snapshot(
+        return peers.encode_snapshot(
             self._directory,
             now,
             self._beat_sender.key,
@@ -312,7 +312,7 @@
         if hosts:
             now = self._received_at
             encoded = [
-                peers.dump_change(name, target, revision, now)
+                peers.encode_change(name, target, revision, now)
                 for name, target, revision in changes
             ]
             self._send_beat(hosts, self._own.zone, changes=encoded, since=since)
--- a/cornelgap/forwarding/fetcher.py
+++ b/cornelgap/forwarding/fetcher.py
@@ -12,7 +12,7 @@
 
 from cornelgap.core.errors import CodedError
 from cornelgap.forwarding.facts import read_clock
-from cornelgap.forwarding.peer_messages import unpack_snapshot
+from cornelgap.forwarding.peer_messages import decode_snapshot
 from cornelgap.kernel.named_actor import NamedActor
 from cornelgap.kernel.names import tell_actor
 from cornelgap.kernel.pages import make_tcp_server
@@ -72,7 +72,7 @@
             return
         try:
             raw = receive_all((message.host, self._port))
-            snapshot = unpack_snapshot(raw, read_clock(), message.key)
+            snapshot = decode_snapshot(raw, read_clock(), message.key)
         except (OSError, CodedError) as exc:
             _LOG.info(
                 'directory: fetch failed',
--- a/cornelgap/forwarding/peer_messages.py
+++ b/cornelgap/forwarding/peer_messages.py
@@ -30,7 +30,7 @@
 
 VERSION = 1
 TAG_BYTES = 16
-MAX_BYTES = 60000
+MAX_BEAT_BYTES = 60000
 """Largest datagram that is read; leaves room for headers."""
 
 COMPRESS_ABOVE_BYTES = 1200
@@ -74,7 +74,7 @@
     :param drained_revision: store revision as of which ``drained_zones`` is
         complete; 0 if the sender does not state it.
     :param since: store revision that ``changes`` follow on.
-    :param changes: changes of targets, as :func:`dump_change` writes them.
+    :param changes: changes of targets, as :func:`encode_change` writes them.
     :param loads: flows through the sender, by cookie.
     :param zone_loads: within a zone, flows by cookie through all instances of
         all zones; to another zone, those through the sender's zone.
@@ -257,7 +257,7 @@
         )
 
 
-def dump_change(name, target, revision, now):
+def encode_change(name, target, revision, now):
     """Convert a change of a target to a list of plain values.
 
     :param target: :class:`Target`, None if it has gone, or ``UNREADABLE``.
@@ -282,19 +282,19 @@
     ]
 
 
-def load_change(item, now):
-    """Convert the output of :func:`dump_change` back.
+def decode_change(item, now):
+    """Convert the output of :func:`encode_change` back.
 
     :returns: tuple (name, :class:`Target`, None or ``UNREADABLE``, revision).
     :raises CodedError: ``PKT-007`` if it is malformed.
     """
     try:
-        return _load_change(item, now)
+        return _decode_change(item, now)
     except (TypeError, ValueError, IndexError) as exc:
         raise CodedError(Code.PKT_FIELD, repr(exc), 'change') from exc
 
 
-def pack_snapshot(directory, now, key, **standing):
+def encode_snapshot(directory, now, key, **standing):
     """Encode all facts of a directory, for an instance that lacks some.
 
     :param standing: ``zone``, ``withdrawal`` and ``beyond`` as in
@@ -325,7 +325,7 @@
         'targets_changed': directory.targets_changed,
         'targets_age': now - directory.targets_as_of,
         'targets': [
-            dump_change(name, target, revision, now)
+            encode_change(name, target, revision, now)
             for name, (target, revision) in directory.list_targets().items()
         ],
         **standing,
@@ -358,8 +358,8 @@
     beyond: tuple = ()
 
 
-def unpack_snapshot(raw, now, key):
-    """Decode the output of :func:`pack_snapshot`.
+def decode_snapshot(raw, now, key):
+    """Decode the output of :func:`encode_snapshot`.
 
     :param key: as for :func:`verify_message`.
     :raises CodedError: as :func:`decode_beat` does.
@@ -368,7 +368,7 @@
     try:
         body = unpacker.decompress(verify_message(raw, key), MAX_SNAPSHOT_BYTES)
         content = _parse_json(body)
-        changes = [load_change(item, now) for item in content['targets']]
+        changes = [decode_change(item, now) for item in content['targets']]
         return Snapshot(
             ConfigStamp(
                 int(content.get('routes_version', 0)),
@@ -392,7 +392,7 @@
         raise CodedError(Code.PKT_FIELD, repr(exc), 'snapshot') from exc
 
 
-def _load_change(item, now):
+def _decode_change(item, now):
     name, revision = str(item[0]), int(item[1])
     if len(item) == 2:
         return name, None, revision
--- a/features/proofs/drain_stories.py
+++ b/features/proofs/drain_stories.py
@@ -168,8 +168,8 @@
     """An instance that has just started knows facts from a snapshot only."""
     teller = start_desk()
     teller.drain_zones('a')
-    raw = peers.pack_snapshot(teller.directory, teller.now, KEY)
-    snapshot = peers.unpack_snapshot(raw, teller.now, KEY)
+    raw = peers.encode_snapshot(teller.directory, teller.now, KEY)
+    snapshot = peers.decode_snapshot(raw, teller.now, KEY)
     directory = Directory()
     directory.adopt_drained_zones(
         snapshot.drained_zones, snapshot.drained_stamp, teller.now
--- a/features/proofs/restore_world.py
+++ b/features/proofs/restore_world.py
@@ -181,8 +181,8 @@
         beat = peer_messages.decode_beat(other.make_beat(), KEY)
         news = intake.apply_beat(self.directory, beat, [], self.now)
         if BeatEffect.BEHIND in news:
-            raw = peer_messages.pack_snapshot(other.directory, self.now, KEY)
-            snapshot = peer_messages.unpack_snapshot(raw, self.now, KEY)
+            raw = peer_messages.encode_snapshot(other.directory, self.now, KEY)
+            snapshot = peer_messages.decode_snapshot(raw, self.now, KEY)
             message = SnapshotFetched('10.0.9.1', snapshot, self.now)
             intake.apply_snapshot(self.directory, message, self.now)
         return news
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -18,9 +18,9 @@
 from cornelgap.forwarding.peer_messages import (
     Beat,
     decode_beat,
+    decode_snapshot,
     encode_beat,
-    pack_snapshot,
-    unpack_snapshot,
+    encode_snapshot,
 )
 from cornelgap.forwarding.zone_standing import ZoneStanding
 from features.proofs.forwarding_desk import (
@@ -352,10 +352,10 @@
             if other.near.host == host and other.keyed:
                 told = other.standing.make_beat_fields(self.now)
                 told.pop('openings', None)
-                raw = pack_snapshot(
+                raw = encode_snapshot(
                     other.directory, self.now, KEY, zone='b', **told
                 )
-                snapshot = unpack_snapshot(raw, self.now, None)
+                snapshot = decode_snapshot(raw, self.now, None)
                 node.standing.take_snapshot(snapshot, host, self.now)
 
     def _send(self, node, hosts, **parts):
--- a/features/steps/forwarding_property_steps.py
+++ b/features/steps/forwarding_property_steps.py
@@ -177,11 +177,11 @@
             try:
                 beat = peers.decode_beat(raw, KEY)
                 for item in beat.changes:
-                    peers.load_change(item, 0)
+                    peers.decode_change(item, 0)
             except CodedError as exc:
                 assert exc.code[:4] in {'PKT-', 'NET-'}
             try:
-                peers.unpack_snapshot(raw, 0, KEY)
+                peers.decode_snapshot(raw, 0, KEY)
             except CodedError as exc:
                 assert exc.code[:4] in {'PKT-', 'NET-'}
 
@@ -236,8 +236,8 @@
         told.adopt_routes(some_routes, ConfigStamp(7, 2, 9), 1)
         listed = {one.name: (one, 5) for one in some_targets}
         told.adopt_targets(listed, Stamp(2, 8), 2, 2)
-        raw = peers.pack_snapshot(told, 3, KEY)
-        snapshot = peers.unpack_snapshot(raw, 0, KEY)
+        raw = peers.encode_snapshot(told, 3, KEY)
+        snapshot = peers.decode_snapshot(raw, 0, KEY)
         assert snapshot.routes == some_routes
         assert snapshot.targets == listed
         assert snapshot.routes_stamp == ConfigStamp(7, 2, 9)
@@ -400,7 +400,7 @@
 
 @then('it fits into a datagram and survives encoding')
 def check_full_beat(context):
-    assert len(context.raw) <= peers.MAX_BYTES, len(context.raw)
+    assert len(context.raw) <= peers.MAX_BEAT_BYTES, len(context.raw)
     assert peers.decode_beat(context.raw, KEY) == context.beat
 
 
@@ -525,9 +525,9 @@
 def check_told_targets(context):
     for target in (make_target(5, born=1700000000000), UNREADABLE, None):
         item = json.loads(
-            json.dumps(peers.dump_change('i-00000005', target, 7, 0))
+            json.dumps(peers.encode_change('i-00000005', target, 7, 0))
         )
-        name, found, revision = peers.load_change(item, 0)
+        name, found, revision = peers.decode_change(item, 0)
         assert (revision, found) == (7, target)
 
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -46,7 +46,7 @@
     directory = Directory()
     directory.adopt_routes(routes, ConfigStamp(7, 2, 9), 1)
     directory.adopt_targets({}, Stamp(2, 8), 1, 1)
-    return peers.pack_snapshot(directory, 2, KEY)
+    return peers.encode_snapshot(directory, 2, KEY)
 
 
 @given('routes with priorities, goals, timeouts and types')
@@ -82,7 +82,7 @@
 
 @then('instances pass that on in snapshots')
 def check_snapshot(context):
-    snapshot = peers.unpack_snapshot(pack_routes(context.routes), 2, KEY)
+    snapshot = peers.decode_snapshot(pack_routes(context.routes), 2, KEY)
     assert snapshot.routes == context.routes
 
 
@@ -92,7 +92,7 @@
     content = json.loads(zlib.decompress(peers.verify_message(raw, KEY)))
     content.pop('policies')
     old = peers.sign_message(zlib.compress(json.dumps(content).encode()), KEY)
-    snapshot = peers.unpack_snapshot(old, 2, KEY)
+    snapshot = peers.decode_snapshot(old, 2, KEY)
     assert len(snapshot.routes) == len(context.routes)
     assert {route.policy for route in snapshot.routes} == {RequestPolicy()}
 
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -423,7 +423,7 @@
 
 @then('the seed is told of a link of capacity {capacity:d}')
 def check_told_link(context, capacity):
-    beat = peers.decode_beat(context.seed.recv(peers.MAX_BYTES), KEY)
+    beat = peers.decode_beat(context.seed.recv(peers.MAX_BEAT_BYTES), KEY)
     assert beat.capacity == capacity
 
 
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -187,10 +187,10 @@
 
 @then('a snapshot with the withdrawal "{text}" is refused with "{code}"')
 def check_snapshot_refused(context, text, code):
-    raw = peers.pack_snapshot(
+    raw = peers.encode_snapshot(
         make_directory(), 101, KEY, withdrawal=json.loads(text)
     )
-    check_code(code, lambda told: peers.unpack_snapshot(told, 101, KEY), raw)
+    check_code(code, lambda told: peers.decode_snapshot(told, 101, KEY), raw)
 
 
 @given('an instance that is ready')
