--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -107,7 +107,7 @@
     """Keeps the directory up to date and distributes its changes.
 
     :param own: this instance,
-        :class:`~cornelgap.forwarding.neighbours.Self`.
+        :class:`~cornelgap.forwarding.neighbours.InstanceIdentity`.
     :param port: UDP port on which all instances exchange beats.
     :param seeds: hosts of a few other instances; the list may be out of date.
     :param wait_s: longest wait of a watch on the store, in seconds.
--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -100,7 +100,7 @@
     zone_loads_at: float = 0
 
 
-class Self(Struct, frozen=True):
+class InstanceIdentity(Struct, frozen=True):
     """Identity of this instance.
 
     :param capacity: capacity of its link, as in :class:`Member`.
@@ -115,7 +115,7 @@
 class Neighbours:
     """All other instances that this one knows.
 
-    :param own: this instance, :class:`Self`.
+    :param own: this instance, :class:`InstanceIdentity`.
     :param seeds: hosts of a few instances from the settings, perhaps outdated.
     """
 
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -25,7 +25,7 @@
 from cornelgap.forwarding.engine import Engine
 from cornelgap.forwarding.facts import read_clock
 from cornelgap.forwarding.follower import FOLLOWER, AdoptWait, Follower
-from cornelgap.forwarding.neighbours import Self
+from cornelgap.forwarding.neighbours import InstanceIdentity
 from cornelgap.forwarding.packet_actor import (
     FORWARDING,
     AdoptColdLimit,
@@ -139,7 +139,9 @@
         )
         Follower.start(name, source, DIRECTORY, wait_s, rng, time.sleep)
         self._directory = DirectoryActor.start(
-            Self(name, settings.zone, settings.host, settings.capacity),
+            InstanceIdentity(
+                name, settings.zone, settings.host, settings.capacity
+            ),
             port,
             settings.seeds,
             wait_s,
--- a/features/proofs/restore_world.py
+++ b/features/proofs/restore_world.py
@@ -19,7 +19,7 @@
     read_clock,
 )
 from cornelgap.forwarding.fetcher import SnapshotFetched
-from cornelgap.forwarding.neighbours import Neighbours, Self
+from cornelgap.forwarding.neighbours import InstanceIdentity, Neighbours
 from cornelgap.forwarding.news import BeatEffect
 from cornelgap.platform.sources import StoreSource
 from cornelgap.platform.store import StoreClient, StoreError
@@ -189,7 +189,7 @@
 
     def make_beat(self):
         """Return the datagram by which this instance tells what it knows."""
-        own = Self('n1', 'a', '10.0.9.1', 0)
+        own = InstanceIdentity('n1', 'a', '10.0.9.1', 0)
         rng = random.Random(1)
         wire = _Wire()
         neighbours = Neighbours(own, (), rng)
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -11,8 +11,8 @@
 from cornelgap.forwarding.neighbours import (
     FORGET_S,
     REPAIR_S,
+    InstanceIdentity,
     Neighbours,
-    Self,
 )
 from cornelgap.forwarding.packets import Drop, Forward, Reset
 from cornelgap.forwarding.peer_messages import (
@@ -61,7 +61,7 @@
         self.out = False
         self.keyed = True
         self.missed = 2
-        own = Self(self.name, 'b', f'10.0.1.{number}', 10 - number)
+        own = InstanceIdentity(self.name, 'b', f'10.0.1.{number}', 10 - number)
         seeds = ['10.0.1.0', '10.0.1.1', '10.0.1.2']
         self.near = Neighbours(own, seeds, random.Random(number))
         self.standing = ZoneStanding(self.near, self.tell, self.note_out)
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -6,7 +6,7 @@
 
 import random
 
-from cornelgap.forwarding.neighbours import Neighbours, Self
+from cornelgap.forwarding.neighbours import InstanceIdentity, Neighbours
 from cornelgap.forwarding.peer_messages import Beat
 from features.proofs.forwarding_desk import Desk, make_route, make_target
 
@@ -185,7 +185,9 @@
 
 def play_loaded_zone_back():
     """A zone is back after ten seconds, as loaded as it was before."""
-    hub = Neighbours(Self('n1', 'a', '10.0.0.1'), [], random.Random(1))
+    hub = Neighbours(
+        InstanceIdentity('n1', 'a', '10.0.0.1'), [], random.Random(1)
+    )
     loads = {target.cookie: 60 for target in NEAR + FAR}
     far = {target.cookie: 60 for target in FAR}
     beat = Beat('n9', 'b', '10.0.1.1', 1, hub=True, zone_loads=far)
--- a/features/proofs/zone_world.py
+++ b/features/proofs/zone_world.py
@@ -5,7 +5,7 @@
 
 import random
 
-from cornelgap.forwarding.neighbours import Neighbours, Self
+from cornelgap.forwarding.neighbours import InstanceIdentity, Neighbours
 from cornelgap.forwarding.peer_messages import Beat
 
 TURN_S = 0.25
@@ -32,7 +32,7 @@
         """Start an instance, or start it again: it then knows nobody."""
         host = f'10.0.0.{number}'
         capacity = 10 if number < self._wide else 3
-        own = Self(f'n{number}', 'a', host, capacity)
+        own = InstanceIdentity(f'n{number}', 'a', host, capacity)
         seeds = ['10.0.0.5', '10.0.0.7']
         self.nodes[host] = Neighbours(own, seeds, random.Random(number))
         self.dead.discard(host)
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -37,7 +37,7 @@
     Follow,
     Follower,
 )
-from cornelgap.forwarding.neighbours import Self
+from cornelgap.forwarding.neighbours import InstanceIdentity
 from cornelgap.forwarding.packet_actor import (
     FORWARDING,
     AdoptColdLimit,
@@ -205,7 +205,7 @@
 
 
 def start_directory(context, number, port):
-    own = Self(f'r{number}', 'a', f'127.0.0.{31 + number}')
+    own = InstanceIdentity(f'r{number}', 'a', f'127.0.0.{31 + number}')
     actor = DirectoryActor.start(
         own,
         port,
@@ -272,7 +272,7 @@
 @given('a directory whose follower waits {wait_s:d} s')
 def make_directory(context, wait_s):
     context.actor = DirectoryActor(
-        Self('r0', 'a', '127.0.0.31'),
+        InstanceIdentity('r0', 'a', '127.0.0.31'),
         pick_ports(1)[0],
         (),
         wait_s,
