--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -246,7 +246,7 @@
         except CodedError as exc:
             self.counts[str(exc.code)] += 1
             return
-        self._neighbours.note_beat(beat, self._received_at)
+        self._neighbours.record_beat(beat, self._received_at)
         self._zone_standing.take_beat(beat, self._received_at)
         if beat.hello:
             self._answer_hello(host, beat.zone)
@@ -308,7 +308,7 @@
             return
         hosts = []
         if self._follower_role.active or self._neighbours.is_hub:
-            hosts = self._neighbours.list_all_near()
+            hosts = self._neighbours.list_zone_hosts()
         if hosts:
             now = self._received_at
             encoded = [
@@ -393,11 +393,11 @@
             self._last_members_at = now
             parts['members'] = neighbours.list_members(now, own_zone)
         parts.update(self._reports.report(now))
-        hosts = neighbours.list_near_hosts()
+        hosts = neighbours.list_beat_hosts()
         if self._follower_role.active:
-            hosts = neighbours.list_all_near()
+            hosts = neighbours.list_zone_hosts()
         self._send_beat(hosts, own_zone, **parts)
-        far_hosts = neighbours.list_far_hosts(now)
+        far_hosts = neighbours.list_due_hub_hosts(now)
         if far_hosts:
             own_loads = self._reports.sum_zone_loads(now)
             self._send_beat(far_hosts, '', zone_loads=own_loads)
@@ -405,14 +405,14 @@
     def _handle_load(self, message):
         self._reports.note_local_loads(message)
         if self._zone_standing.take_opening_report(message.opening_report):
-            hosts = self._neighbours.list_near_hosts()
+            hosts = self._neighbours.list_beat_hosts()
             self._send_beat(hosts, self._own.zone)
 
     def _update_zone_standing(self, now):
         if self._zone_standing.tick(
             now, is_heard=self._beat_sender.key is not None
         ):
-            self._send_beat(self._neighbours.list_all_near(), self._own.zone)
+            self._send_beat(self._neighbours.list_zone_hosts(), self._own.zone)
         probe_hosts = self._zone_standing.list_cut_probe_hosts(now)
         if probe_hosts:
             self._send_beat(probe_hosts, '', hello=True)
@@ -427,7 +427,7 @@
             now,
             neighbours.compute_rank(),
             self._directory.compute_age(now),
-            neighbours.find_follower(now, self._follower_role.is_fresh),
+            neighbours.has_follower(now, self._follower_role.is_fresh),
         )
         if active != before:
             _LOG.info(
@@ -459,13 +459,13 @@
 
     def _announce_leaving(self, _message):
         self._send_beat(
-            self._neighbours.list_all_near(), self._own.zone, leaving=True
+            self._neighbours.list_zone_hosts(), self._own.zone, leaving=True
         )
 
     def _handle_evidence(self, message):
         if self._evidence_pacer.take(self._received_at, urgent=True):
             self._send_beat(
-                self._neighbours.list_all_near(),
+                self._neighbours.list_zone_hosts(),
                 self._own.zone,
                 repeats=message.evidence.repeats,
                 copies=message.evidence.copies,
--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -141,7 +141,7 @@
         """Replace the seeds; instances that are known already are kept."""
         self._seeds = [seed for seed in seeds if seed != self.host]
 
-    def note_beat(self, beat, now):
+    def record_beat(self, beat, now):
         """Update the membership and the load reports from a beat."""
         if beat.name == self.name:
             return
@@ -207,11 +207,11 @@
 
     def compute_rank(self):
         """Return how many higher-ranked instances of the zone may be alive."""
-        ranked = self._rank()
+        ranked = self._rank_zone()
         before = ranked[: ranked.index(self.name)]
         return sum(name not in self._suspects for name in before)
 
-    def find_follower(self, now, is_fresh):
+    def has_follower(self, now, is_fresh):
         """Say whether a higher-ranked instance follows the store.
 
         Only instances whose facts are fresh count.
@@ -219,7 +219,7 @@
         :param is_fresh: function that says whether facts of an age in seconds
             are fresh.
         """
-        ranked = self._rank()
+        ranked = self._rank_zone()
         for name in ranked[: ranked.index(self.name)]:
             member = self._members[name]
             beat = member.beat
@@ -230,7 +230,7 @@
                 return True
         return False
 
-    def list_near_hosts(self):
+    def list_beat_hosts(self):
         """Return the hosts of this zone that get the regular beat."""
         if self.is_hub:
             return [member.host for member in self._list_zone_members()]
@@ -246,18 +246,18 @@
             return []
         return [self._members[self._hubs[0]].host]
 
-    def list_all_near(self):
+    def list_zone_hosts(self):
         """Return the hosts of all other instances of this zone."""
         return [member.host for member in self._list_zone_members()]
 
-    def list_far_hosts(self, now):
+    def list_due_hub_hosts(self, now):
         """Return hosts of hubs of other zones if a beat to them is due."""
         if not self.is_first_hub or now - self._far_at < FAR_S:
             return []
         self._far_at = now
-        return self.list_far_hubs()
+        return self.list_other_zone_hubs()
 
-    def list_far_hubs(self):
+    def list_other_zone_hubs(self):
         """Return hosts of hubs of other zones."""
         hosts = []
         for zone in {item.zone for item in self._members.values()}:
@@ -330,7 +330,7 @@
                 add_loads(total, member.loads)
         return total
 
-    def sum_far_loads(self, now):
+    def sum_other_zone_loads(self, now):
         """Return flows by cookie of all other zones, as last reported."""
         total = {}
         for received_at, loads in self._far_loads.values():
@@ -345,7 +345,7 @@
         """
         if self.is_first_hub:
             total = self.sum_zone_loads({}, now)
-            add_loads(total, self.sum_far_loads(now))
+            add_loads(total, self.sum_other_zone_loads(now))
             return total
         hubs = [
             self._members[name]
@@ -361,7 +361,7 @@
                 total[cookie] = max(0, total[cookie] - flows)
         return total
 
-    def choose_load_pause(self):
+    def compute_load_interval(self):
         """Return the seconds between two load reports."""
         return LOAD_BEAT_S if self.count_zone() <= CROWD else CROWD_LOAD_S
 
@@ -386,7 +386,7 @@
             if member.zone == self.zone
         ]
 
-    def _rank(self):
+    def _rank_zone(self):
         capacities = {
             member.name: member.capacity for member in self._list_zone_members()
         }
@@ -396,7 +396,7 @@
     def _choose_hubs(self, now):
         hubs = []
         self._suspects = set()
-        for name in self._rank():
+        for name in self._rank_zone():
             member = self._members.get(name)
             if len(hubs) == HUBS:
                 if member is not None:
--- a/cornelgap/forwarding/reports.py
+++ b/cornelgap/forwarding/reports.py
@@ -55,7 +55,10 @@
         :returns: dict of fields to add to the regular beat.
         """
         beat_fields = {}
-        if now - self._loads_sent_at >= self._neighbours.choose_load_pause():
+        if (
+            now - self._loads_sent_at
+            >= self._neighbours.compute_load_interval()
+        ):
             self._loads_sent_at = now
             self._report_loads(now, beat_fields)
         self._report_outcomes(beat_fields)
@@ -71,7 +74,7 @@
         message = PeerLoads(
             other_loads,
             neighbours.count_zone(),
-            neighbours.choose_load_pause(),
+            neighbours.compute_load_interval(),
             neighbours.compute_rank(),
         )
         self._tell(message)
--- a/cornelgap/forwarding/zone_standing.py
+++ b/cornelgap/forwarding/zone_standing.py
@@ -224,7 +224,7 @@
         if not self._neighbours.is_hub:
             return []
         if not self.withdrawn:
-            hosts = self._neighbours.list_far_hubs()
+            hosts = self._neighbours.list_other_zone_hubs()
             self._remote_hub_hosts = hosts or self._remote_hub_hosts
             return []
         due = now - self._cut_probed_at >= CUT_PROBE_INTERVAL_S
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -308,7 +308,7 @@
         for node in self.list_alive():
             is_met = node.near.is_hub and node.keyed
             if is_met and node.name not in self.alone:
-                node.near.note_beat(beat, self.now)
+                node.near.record_beat(beat, self.now)
                 node.standing.take_beat(beat, self.now)
 
     def _tick_instance(self, node):
@@ -319,7 +319,7 @@
             self._fetch(node)
             return
         if node.standing.tick(self.now):
-            self._send(node, near.list_all_near())
+            self._send(node, near.list_zone_hosts())
         if node.standing.list_cut_probe_hosts(self.now) and not self.cut:
             self.met_at = self.now
         rank = near.compute_rank()
@@ -333,17 +333,17 @@
                 'answers': evidence.answers,
                 'answer_ages': evidence.ages,
             }
-            self._send(node, near.list_all_near(), **parts)
+            self._send(node, near.list_zone_hosts(), **parts)
         hello = near.choose_hello(self.now)
         if hello is not None:
             self._send(node, [hello], hello=True)
         if self.steps % BEAT_STEPS == 0:
             members = near.list_members(self.now, 'b') if near.is_hub else []
-            self._send(node, near.list_near_hosts(), members=members)
+            self._send(node, near.list_beat_hosts(), members=members)
         if node.standing.take_opening_report(
             node.engine.make_opening_report(self.now)
         ):
-            self._send(node, near.list_near_hosts())
+            self._send(node, near.list_beat_hosts())
 
     def _fetch(self, node):
         """Let an instance without the key learn from a seed."""
@@ -377,7 +377,7 @@
                 self._take(other, decode_beat(raw, KEY))
 
     def _take(self, node, beat):
-        node.near.note_beat(beat, self.now)
+        node.near.record_beat(beat, self.now)
         node.standing.take_beat(beat, self.now)
         evidence = Evidence(
             beat.repeats, beat.answers, beat.answer_ages, beat.copies
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -191,7 +191,7 @@
     loads = {target.cookie: 60 for target in NEAR + FAR}
     far = {target.cookie: 60 for target in FAR}
     beat = Beat('n9', 'b', '10.0.1.1', 1, hub=True, zone_loads=far)
-    hub.note_beat(beat, 100)
+    hub.record_beat(beat, 100)
     hub.expire(110)
     loads.update(dict.fromkeys(far, 0))
     loads.update(hub.sum_others({}, 110))
--- a/features/proofs/zone_world.py
+++ b/features/proofs/zone_world.py
@@ -56,13 +56,13 @@
         if hello is not None:
             self._send(node, hello, hello=True)
         members = node.list_members(self.now, 'a') if node.is_hub else []
-        for near in node.list_near_hosts():
+        for near in node.list_beat_hosts():
             self._send(node, near, members=members)
         if node.is_first_hub:
             total = node.sum_others({}, self.now)
             for cookie, flows in loads.items():
                 total[cookie] = total.get(cookie, 0) + flows
-            for near in node.list_near_hosts():
+            for near in node.list_beat_hosts():
                 self._send(node, near, zone_loads=total)
         else:
             for near in node.list_load_hosts():
@@ -81,7 +81,7 @@
             **parts,
         )
         other = self.nodes[host]
-        other.note_beat(beat, self.now)
+        other.record_beat(beat, self.now)
         if beat.hello:
             members = other.list_members(self.now, 'a')
             self._send(other, node.host, members=members)
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -400,7 +400,7 @@
 
 @then('all instances have the same order with it at place {place:d}')
 def check_rank(context, place):
-    orders = {tuple(node._rank()) for node in context.zone.list_alive()}
+    orders = {tuple(node._rank_zone()) for node in context.zone.list_alive()}
     assert len(orders) == 1, orders
     assert orders.pop().index(context.name) == place - 1
 
