--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -12,43 +12,43 @@
 from cornelgap.decisions.fanout import rank_names
 from cornelgap.decisions.target_outliers import Outcomes
 
-HUBS = 2
+HUBS_PER_ZONE = 2
 """Hubs per zone: if one dies, the zone still hears of changes."""
 
-SILENT_S = 1.3
+HUB_TIMEOUT_S = 1.3
 """Silence after which an instance is no longer chosen as a hub.  Hubs send
 twice a second, so two datagrams in a row must be lost."""
 
-MENTION_S = 3.0
+LISTED_MAX_AGE_S = 3.0
 """Time since its last beat within which an instance is listed to others."""
 
-FORGET_S = 4.0
+MEMBER_TIMEOUT_S = 4.0
 """Time after which an instance that no beat came from or listed is removed."""
 
-LOAD_S = 3.0
+LOAD_MAX_AGE_S = 3.0
 """Age from which an instance's load report is ignored: its callers have
 moved to another instance by then."""
 
-FAR_LOAD_S = 60.0
+OTHER_ZONE_LOAD_MAX_AGE_S = 60.0
 """Age up to which the load sum of another zone counts.  The zone keeps its
 long flows while it is cut off, so an old sum is a better estimate than none.
 If the zone were taken to be empty, it would get all new flows of the other
 zones in the first second after its return, and the next cut would break
 them."""
 
-HELLO_S = 0.4
+HELLO_INTERVAL_S = 0.4
 """Seconds between two beats that ask for an answer (hellos) while no other
 instance of the zone is known, and just after the start, when most others also
 start and know few instances."""
 
 SETTLE_S = 3.0
-"""Time after the start in which hellos come every :data:`HELLO_S`."""
+"""Time after the start in which hellos come every :data:`HELLO_INTERVAL_S`."""
 
-SEED_S = 1.0
+SEED_INTERVAL_S = 1.0
 """Seconds between two fetches of a snapshot from a seed while the key is
 unknown; as often as a follower gets an answer from the store."""
 
-REPAIR_S = 5.0
+REPAIR_INTERVAL_S = 5.0
 """Seconds between two hellos otherwise.  They join groups of instances that
 do not know each other."""
 
@@ -57,17 +57,17 @@
 be opened on cold targets.  An instance that is cut off must keep counting the
 others for as long as they count it, or it would take their shares as well."""
 
-CROWD = 8
+LARGE_ZONE_SIZE = 8
 """Instances of a zone above which load reports come half as often, and
 placement spreads its flows instead."""
 
-CROWD_LOAD_S = 1.0
-"""Seconds between two load reports in zones larger than :data:`CROWD`."""
+LARGE_ZONE_LOAD_INTERVAL_S = 1.0
+"""Seconds between two load reports in zones larger than :data:`LARGE_ZONE_SIZE`."""
 
-LOAD_BEAT_S = 0.5
+LOAD_INTERVAL_S = 0.5
 """Seconds between two load reports in other zones."""
 
-FAR_S = 1.0
+OTHER_ZONE_BEAT_INTERVAL_S = 1.0
 """Seconds between two beats to hubs of other zones; traffic between zones is
 billed."""
 
@@ -170,11 +170,11 @@
                     member.capacity = capacity
 
     def expire(self, now):
-        """Remove instances not heard of for :data:`FORGET_S`; choose hubs."""
+        """Remove instances not heard of for :data:`MEMBER_TIMEOUT_S`; choose hubs."""
         expired = [
             name
             for name, member in self._members.items()
-            if now - member.known_at > FORGET_S
+            if now - member.known_at > MEMBER_TIMEOUT_S
         ]
         for name in expired:
             self._members.pop(name)
@@ -252,7 +252,10 @@
 
     def list_due_hub_hosts(self, now):
         """Return hosts of hubs of other zones if a beat to them is due."""
-        if not self.is_first_hub or now - self._far_at < FAR_S:
+        if (
+            not self.is_first_hub
+            or now - self._far_at < OTHER_ZONE_BEAT_INTERVAL_S
+        ):
             return []
         self._far_at = now
         return self.list_other_zone_hubs()
@@ -274,7 +277,7 @@
             self._started_at = now
         alone = not self._list_zone_members()
         settling = now - self._started_at < SETTLE_S
-        pause = HELLO_S if alone or settling else REPAIR_S
+        pause = HELLO_INTERVAL_S if alone or settling else REPAIR_INTERVAL_S
         if now - self._hello_chosen_at < pause:
             return None
         known = [member.host for member in self._members.values()]
@@ -291,7 +294,7 @@
 
         :returns: a host, or None.
         """
-        if not self._seeds or now - self._seed_chosen_at < SEED_S:
+        if not self._seeds or now - self._seed_chosen_at < SEED_INTERVAL_S:
             return None
         self._seed_chosen_at = now
         self._seeds.append(self._seeds.pop(0))
@@ -326,7 +329,7 @@
         """
         total = dict(own)
         for member in self._list_zone_members():
-            if now - member.loads_at < LOAD_S:
+            if now - member.loads_at < LOAD_MAX_AGE_S:
                 add_loads(total, member.loads)
         return total
 
@@ -334,7 +337,7 @@
         """Return flows by cookie of all other zones, as last reported."""
         total = {}
         for received_at, loads in self._far_loads.values():
-            if now - received_at < FAR_LOAD_S:
+            if now - received_at < OTHER_ZONE_LOAD_MAX_AGE_S:
                 add_loads(total, loads)
         return total
 
@@ -351,7 +354,7 @@
             self._members[name]
             for name in self._hubs
             if name in self._members
-            and now - self._members[name].zone_loads_at < LOAD_S
+            and now - self._members[name].zone_loads_at < LOAD_MAX_AGE_S
         ]
         if not hubs:
             return {}
@@ -363,7 +366,11 @@
 
     def compute_load_interval(self):
         """Return the seconds between two load reports."""
-        return LOAD_BEAT_S if self.count_zone() <= CROWD else CROWD_LOAD_S
+        return (
+            LOAD_INTERVAL_S
+            if self.count_zone() <= LARGE_ZONE_SIZE
+            else LARGE_ZONE_LOAD_INTERVAL_S
+        )
 
     def count_zone(self):
         """Return the number of instances of this zone, this one included."""
@@ -398,7 +405,7 @@
         self._suspects = set()
         for name in self._rank_zone():
             member = self._members.get(name)
-            if len(hubs) == HUBS:
+            if len(hubs) == HUBS_PER_ZONE:
                 if member is not None:
                     member.expected_since = None
             elif member is None or _may_be_hub(member, now):
@@ -420,8 +427,11 @@
 
 
 def _is_recently_heard(member, now):
-    """Say whether a beat of a member came within :data:`MENTION_S`."""
-    return member.direct_at is not None and now - member.direct_at <= MENTION_S
+    """Say whether a beat of a member came within :data:`LISTED_MAX_AGE_S`."""
+    return (
+        member.direct_at is not None
+        and now - member.direct_at <= LISTED_MAX_AGE_S
+    )
 
 
 def _may_be_hub(member, now):
@@ -433,7 +443,7 @@
     if member.expected_since is None:
         member.expected_since = now
     heard_at = max(member.direct_at or 0, member.expected_since)
-    return now - heard_at < SILENT_S
+    return now - heard_at < HUB_TIMEOUT_S
 
 
 def _get_zone_loads_time(member):
--- a/features/proofs/forwarding_guards.py
+++ b/features/proofs/forwarding_guards.py
@@ -282,7 +282,9 @@
 
 
 def forget_far_loads(patches):
-    patches.set_attr(neighbours, 'FAR_LOAD_S', neighbours.LOAD_S)
+    patches.set_attr(
+        neighbours, 'OTHER_ZONE_LOAD_MAX_AGE_S', neighbours.LOAD_MAX_AGE_S
+    )
 
 
 def hold_probes(patches):
@@ -372,7 +374,7 @@
 
 
 def forget_soon(patches):
-    patches.set_attr(neighbours, 'RECENT_S', neighbours.FORGET_S)
+    patches.set_attr(neighbours, 'RECENT_S', neighbours.MEMBER_TIMEOUT_S)
 
 
 def trust_returned_zones(patches):
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -9,8 +9,8 @@
 from cornelgap.forwarding import packets as pkt
 from cornelgap.forwarding.failure_detector import Evidence
 from cornelgap.forwarding.neighbours import (
-    FORGET_S,
-    REPAIR_S,
+    MEMBER_TIMEOUT_S,
+    REPAIR_INTERVAL_S,
     InstanceIdentity,
     Neighbours,
 )
@@ -293,7 +293,7 @@
             self._tick_instance(node)
         if self.cut:
             self.cut_at = self.now
-        elif self.now - self.cut_at > REPAIR_S:
+        elif self.now - self.cut_at > REPAIR_INTERVAL_S:
             self.met_at = self.now
         if self.steps % FAR_STEPS == 0:
             self._meet()
@@ -301,7 +301,7 @@
 
     def _meet(self):
         """Let zone a's hub send its beat unless it has forgotten zone b."""
-        if self.cut or self.now - self.met_at > FORGET_S:
+        if self.cut or self.now - self.met_at > MEMBER_TIMEOUT_S:
             return
         self.met_at = self.now
         beat = Beat('a0', 'a', '10.0.0.1', 1, hub=True)
