--- a/cornelgap/forwarding/directory.py
+++ b/cornelgap/forwarding/directory.py
@@ -159,7 +159,7 @@
         self.drained_stamp = stamp
         self.drained_zones = frozenset(zones)
         if is_restored:
-            self._lost_writes.note_zones(before, now)
+            self._lost_writes.record_zones(before, now)
         self._lost_writes.release_zones(self.drained_zones)
         drained = self.list_drained_zones()
         self._mark_zones_cold(before - drained, now)
@@ -364,7 +364,7 @@
             return False
         before = self.list_drained_zones()
         as_of = min(self.routes_as_of, self.targets_as_of)
-        released = self._lost_writes.end(as_of)
+        released = self._lost_writes.clear_if_expired(as_of)
         self._mark_zones_cold(before - self.list_drained_zones(), now)
         return released
 
@@ -395,7 +395,7 @@
             for item in self._unregistered.values()
             if item.gone_at <= now
         ]
-        self._lost_writes.note_targets(closed, now)
+        self._lost_writes.record_targets(closed, now)
         return bool(closed)
 
     def _put_target(self, name, target, revision):
--- a/cornelgap/forwarding/lost_writes.py
+++ b/cornelgap/forwarding/lost_writes.py
@@ -28,12 +28,12 @@
         self._targets = {}
         self._until = float('-inf')
 
-    def note_targets(self, targets, now):
+    def record_targets(self, targets, now):
         """Record the targets that took no new flows before a restore."""
         self._targets = {target.name: target.born for target in targets}
         self._until = now + REWRITE_S
 
-    def note_zones(self, zones, now):
+    def record_zones(self, zones, now):
         """Record the zones that were drained before a restore."""
         self.zones = frozenset(zones)
         self._until = now + REWRITE_S
@@ -53,7 +53,7 @@
         """
         return self._targets.get(target.name) == target.born
 
-    def end(self, as_of):
+    def clear_if_expired(self, as_of):
         """Drop all records once the repeated writes must have been read.
 
         :param as_of: time at which the known facts were up to date.
