--- a/cornelgap/forwarding/fetcher.py
+++ b/cornelgap/forwarding/fetcher.py
@@ -18,7 +18,7 @@
 from cornelgap.kernel.pages import make_tcp_server
 
 FETCHER = 'fetcher'
-FETCH_S = 1.0
+FETCH_TIMEOUT_S = 1.0
 """Timeout of a fetch, seconds; a snapshot takes milliseconds."""
 
 _CHUNK_BYTES = 65536
@@ -92,7 +92,7 @@
 
     class Handler(socketserver.BaseRequestHandler):
         def handle(self):
-            self.request.settimeout(FETCH_S)
+            self.request.settimeout(FETCH_TIMEOUT_S)
             try:
                 self.request.sendall(read_snapshot())
             except OSError as exc:
@@ -107,12 +107,12 @@
 def receive_all(address):
     """Receive all bytes until the server closes the connection.
 
-    :raises OSError: if this takes longer than :data:`FETCH_S`, or the
+    :raises OSError: if this takes longer than :data:`FETCH_TIMEOUT_S`, or the
         connection fails.
     """
-    deadline = read_clock() + FETCH_S
+    deadline = read_clock() + FETCH_TIMEOUT_S
     chunks = []
-    with socket.create_connection(address, FETCH_S) as sock:
+    with socket.create_connection(address, FETCH_TIMEOUT_S) as sock:
         while True:
             remaining_s = deadline - read_clock()
             if remaining_s <= 0:
--- a/cornelgap/forwarding/follower.py
+++ b/cornelgap/forwarding/follower.py
@@ -27,7 +27,7 @@
 first call after the store's return comes early enough for a change to take
 effect within its time limit."""
 
-GATHER_S = 0.25
+COLLECT_S = 0.25
 """Pause after an answer with changes, to collect several changes per call.
 While targets are replaced or started, their registrations change many times a
 second, and each change would cost each follower a call of its own.  The next
@@ -49,7 +49,7 @@
     """Message: list all facts, with retries until a list has succeeded."""
 
 
-class AdoptWait(Struct, frozen=True):
+class SetWatchWait(Struct, frozen=True):
     """Message: set the longest wait of a watch, from the next watch on."""
 
     wait_s: float
@@ -88,7 +88,7 @@
         self._collecting = False
         self._failures = 0
         self.handlers = {
-            AdoptWait: self._adopt_wait,
+            SetWatchWait: self._adopt_wait,
             Follow: self._follow,
             ListOnce: self._request_list,
             _CallSource: self._handle_call,
@@ -145,8 +145,8 @@
     def _watch(self):
         wait_s = self._wait_s
         if self._collecting:
-            self._pause(GATHER_S)
-            wait_s -= GATHER_S
+            self._pause(COLLECT_S)
+            wait_s -= COLLECT_S
         messages = self._source.watch_facts(wait_s)
         self._collecting = any(has_changes(message) for message in messages)
         return messages
--- a/cornelgap/platform/node.py
+++ b/cornelgap/platform/node.py
@@ -24,7 +24,7 @@
 )
 from cornelgap.forwarding.engine import Engine
 from cornelgap.forwarding.facts import read_clock
-from cornelgap.forwarding.follower import FOLLOWER, AdoptWait, Follower
+from cornelgap.forwarding.follower import FOLLOWER, Follower, SetWatchWait
 from cornelgap.forwarding.neighbours import InstanceIdentity
 from cornelgap.forwarding.packet_actor import (
     FORWARDING,
@@ -166,14 +166,16 @@
         wait_s = compute_watch_wait(settings)
         messages = {
             FORWARDING: AdoptColdLimit(settings.cold_limit),
-            FOLLOWER: AdoptWait(wait_s),
+            FOLLOWER: SetWatchWait(wait_s),
             DIRECTORY: AdoptSettings(wait_s, settings.seeds, settings.capacity),
         }
         for service, message in messages.items():
             tell_actor(settings.name, service, message)
 
     def _read_snapshot(self):
-        return self._directory.ask(ReadSnapshot(), timeout=fetcher.FETCH_S)
+        return self._directory.ask(
+            ReadSnapshot(), timeout=fetcher.FETCH_TIMEOUT_S
+        )
 
     def _make_ready(self):
         return (200 if self.is_ready() else 503), b''
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -18,7 +18,7 @@
     ZonesDrained,
 )
 from cornelgap.forwarding.follower import (
-    GATHER_S,
+    COLLECT_S,
     Follow,
     Follower,
     ListOnce,
@@ -317,12 +317,12 @@
 
 @then('it has paused before each but the first two of them')
 def check_pauses(context):
-    assert context.pauses[:2] == [GATHER_S, GATHER_S]
+    assert context.pauses[:2] == [COLLECT_S, COLLECT_S]
 
 
 @then('no wait with its pause is longer than the longest wait')
 def check_waits(context):
-    assert context.source.waits == [1, 1 - GATHER_S, 1 - GATHER_S]
+    assert context.source.waits == [1, 1 - COLLECT_S, 1 - COLLECT_S]
 
 
 @when('another instance learns the key')
--- a/features/steps/settings_reload_steps.py
+++ b/features/steps/settings_reload_steps.py
@@ -33,9 +33,9 @@
 from cornelgap.forwarding.directory_view import Warmup
 from cornelgap.forwarding.follower import (
     FOLLOWER,
-    AdoptWait,
     Follow,
     Follower,
+    SetWatchWait,
 )
 from cornelgap.forwarding.neighbours import InstanceIdentity
 from cornelgap.forwarding.packet_actor import (
@@ -256,7 +256,7 @@
 
 @when('the bound is shortened so that it waits {wait_s:d} s')
 def shorten_wait(context, wait_s):
-    context.follower.tell(AdoptWait(wait_s))
+    context.follower.tell(SetWatchWait(wait_s))
     context.source.answers.put(None)
 
 
@@ -452,7 +452,7 @@
     told = dict(context.heard.get(timeout=WAIT_S) for _ in range(3))
     assert told == {
         FORWARDING: AdoptColdLimit(ColdLimit(0, 5)),
-        FOLLOWER: AdoptWait(1.5),
+        FOLLOWER: SetWatchWait(1.5),
         DIRECTORY: AdoptSettings(1.5, ('10.0.0.7',), 4),
     }, told
     assert context.node.settings.grace_s == 9
