--- a/cornelgap/forwarding/beats.py
+++ b/cornelgap/forwarding/beats.py
@@ -8,7 +8,8 @@
 class BeatSender:
     """Builds beats from the current state and sends them by UDP.
 
-    :param own: this instance, :class:`~cornelgap.forwarding.neighbours.InstanceIdentity`.
+    :param own: this instance,
+        :class:`~cornelgap.forwarding.neighbours.InstanceIdentity`.
     :param boot: random number of the process's lifetime.
     :param directory: :class:`~cornelgap.forwarding.directory.Directory`.
     :param neighbours: :class:`~cornelgap.forwarding.neighbours.Neighbours`.
--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -350,7 +350,7 @@
             self._update_packet_actor(changed=True)
         self._update_follower_role(now)
         self._fetch_from_seed(now)
-        host = neighbours.choose_hello(now)
+        host = neighbours.choose_hello_host(now)
         if host is not None:
             self._send_beat([host], self._own.zone, hello=True)
         if now - self._last_beat_at >= BEAT_INTERVAL_S:
--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -62,7 +62,7 @@
 placement spreads its flows instead."""
 
 LARGE_ZONE_LOAD_INTERVAL_S = 1.0
-"""Seconds between two load reports in zones larger than :data:`LARGE_ZONE_SIZE`."""
+"""Seconds between two load reports in larger zones."""
 
 LOAD_INTERVAL_S = 0.5
 """Seconds between two load reports in other zones."""
@@ -77,8 +77,8 @@
 
     :param capacity: capacity of its link: the bit length of the number of
         Mbit/s, 0 if that is unknown.
-    :param direct_at: when its last beat came; None if none has come.
-    :param known_at: when a beat last came from it or listed it.
+    :param last_beat_at: when its last beat came; None if none has come.
+    :param last_known_at: when a beat last came from it or listed it.
     :param expected_since: since when its rank makes it a hub; None if its
         rank does not.
     :param beat: its last beat.
@@ -90,8 +90,8 @@
     zone: str
     host: str
     capacity: int
-    known_at: float
-    direct_at: float | None = None
+    last_known_at: float
+    last_beat_at: float | None = None
     expected_since: float | None = None
     beat: object = None
     loads: dict = field(default_factory=dict)
@@ -131,11 +131,11 @@
         self._recent = {}
         self._hubs = [own.name]
         self._suspects = set()
-        self._far_loads = {}
+        self._other_zone_loads = {}
         self._started_at = None
         self._hello_chosen_at = float('-inf')
         self._seed_chosen_at = float('-inf')
-        self._far_at = float('-inf')
+        self._hubs_listed_at = float('-inf')
 
     def set_seeds(self, seeds):
         """Replace the seeds; instances that are known already are kept."""
@@ -151,7 +151,7 @@
         member = self._add_member(
             beat.name, beat.zone, beat.host, beat.capacity, now
         )
-        member.direct_at = now
+        member.last_beat_at = now
         member.capacity = beat.capacity
         member.beat = beat
         if beat.loads:
@@ -162,7 +162,7 @@
             member.zone_loads_at = now
             if beat.zone != self.zone:
                 # Kept by zone: the hub that sent it may be removed.
-                self._far_loads[beat.zone] = (now, beat.zone_loads)
+                self._other_zone_loads[beat.zone] = (now, beat.zone_loads)
         for name, zone, host, capacity in beat.members:
             if name != self.name:
                 member = self._add_member(name, zone, host, capacity, now)
@@ -170,18 +170,18 @@
                     member.capacity = capacity
 
     def expire(self, now):
-        """Remove instances not heard of for :data:`MEMBER_TIMEOUT_S`; choose hubs."""
+        """Remove instances that have timed out, and choose the hubs."""
         expired = [
             name
             for name, member in self._members.items()
-            if now - member.known_at > MEMBER_TIMEOUT_S
+            if now - member.last_known_at > MEMBER_TIMEOUT_S
         ]
         for name in expired:
             self._members.pop(name)
         self._recent = {
-            name: known_at
-            for name, known_at in self._recent.items()
-            if now - known_at <= RECENT_S
+            name: last_known_at
+            for name, last_known_at in self._recent.items()
+            if now - last_known_at <= RECENT_S
         }
         self._choose_hubs(now)
 
@@ -225,7 +225,7 @@
             beat = member.beat
             if beat is None or not beat.following or beat.routes_age is None:
                 continue
-            passed = now - member.direct_at
+            passed = now - member.last_beat_at
             if is_fresh(max(beat.routes_age, beat.targets_age or 0) + passed):
                 return True
         return False
@@ -254,10 +254,10 @@
         """Return hosts of hubs of other zones if a beat to them is due."""
         if (
             not self.is_first_hub
-            or now - self._far_at < OTHER_ZONE_BEAT_INTERVAL_S
+            or now - self._hubs_listed_at < OTHER_ZONE_BEAT_INTERVAL_S
         ):
             return []
-        self._far_at = now
+        self._hubs_listed_at = now
         return self.list_other_zone_hubs()
 
     def list_other_zone_hubs(self):
@@ -265,10 +265,10 @@
         hosts = []
         for zone in {item.zone for item in self._members.values()}:
             if zone != self.zone:
-                hosts += self._find_far_hubs(zone)
+                hosts += self._find_hub_hosts(zone)
         return hosts
 
-    def choose_hello(self, now):
+    def choose_hello_host(self, now):
         """Return a host to send a hello to, or None if no hello is due.
 
         The answer to a hello lists the instances that the host knows.
@@ -336,12 +336,12 @@
     def sum_other_zone_loads(self, now):
         """Return flows by cookie of all other zones, as last reported."""
         total = {}
-        for received_at, loads in self._far_loads.values():
+        for received_at, loads in self._other_zone_loads.values():
             if now - received_at < OTHER_ZONE_LOAD_MAX_AGE_S:
                 add_loads(total, loads)
         return total
 
-    def sum_others(self, own, now):
+    def sum_other_loads(self, own, now):
         """Return flows by cookie of all other instances.
 
         :param own: flows by cookie that this instance reported last.
@@ -381,7 +381,7 @@
         if member is None or member.host != host:
             member = Member(name, zone, host, capacity, now)
             self._members[name] = member
-        member.known_at = now
+        member.last_known_at = now
         if zone == self.zone:
             self._recent[name] = now
         return member
@@ -414,7 +414,7 @@
                 self._suspects.add(name)
         self._hubs = hubs
 
-    def _find_far_hubs(self, zone):
+    def _find_hub_hosts(self, zone):
         members = [
             member for member in self._members.values() if member.zone == zone
         ]
@@ -429,8 +429,8 @@
 def _is_recently_heard(member, now):
     """Say whether a beat of a member came within :data:`LISTED_MAX_AGE_S`."""
     return (
-        member.direct_at is not None
-        and now - member.direct_at <= LISTED_MAX_AGE_S
+        member.last_beat_at is not None
+        and now - member.last_beat_at <= LISTED_MAX_AGE_S
     )
 
 
@@ -442,7 +442,7 @@
     """
     if member.expected_since is None:
         member.expected_since = now
-    heard_at = max(member.direct_at or 0, member.expected_since)
+    heard_at = max(member.last_beat_at or 0, member.expected_since)
     return now - heard_at < HUB_TIMEOUT_S
 
 
--- a/cornelgap/forwarding/reports.py
+++ b/cornelgap/forwarding/reports.py
@@ -70,7 +70,7 @@
         The hub itself puts the sum of both into its beat.
         """
         neighbours = self._neighbours
-        other_loads = neighbours.sum_others(self._last_reported_loads, now)
+        other_loads = neighbours.sum_other_loads(self._last_reported_loads, now)
         message = PeerLoads(
             other_loads,
             neighbours.count_zone(),
--- a/features/proofs/withdrawal_world.py
+++ b/features/proofs/withdrawal_world.py
@@ -334,7 +334,7 @@
                 'answer_ages': evidence.ages,
             }
             self._send(node, near.list_zone_hosts(), **parts)
-        hello = near.choose_hello(self.now)
+        hello = near.choose_hello_host(self.now)
         if hello is not None:
             self._send(node, [hello], hello=True)
         if self.steps % BEAT_STEPS == 0:
--- a/features/proofs/zone_stories.py
+++ b/features/proofs/zone_stories.py
@@ -194,7 +194,7 @@
     hub.record_beat(beat, 100)
     hub.expire(110)
     loads.update(dict.fromkeys(far, 0))
-    loads.update(hub.sum_others({}, 110))
+    loads.update(hub.sum_other_loads({}, 110))
     desk, _ = start_two_zones()
     desk.engine.note_other_instances(loads, instances=1, report_interval_s=0.5)
     opened = [desk.open(caller) for caller in range(50000, 50040)]
--- a/features/proofs/zone_world.py
+++ b/features/proofs/zone_world.py
@@ -52,14 +52,14 @@
         ]
 
     def _send_all(self, node, loads):
-        hello = node.choose_hello(self.now)
+        hello = node.choose_hello_host(self.now)
         if hello is not None:
             self._send(node, hello, hello=True)
         members = node.list_members(self.now, 'a') if node.is_hub else []
         for near in node.list_beat_hosts():
             self._send(node, near, members=members)
         if node.is_first_hub:
-            total = node.sum_others({}, self.now)
+            total = node.sum_other_loads({}, self.now)
             for cookie, flows in loads.items():
                 total[cookie] = total.get(cookie, 0) + flows
             for near in node.list_beat_hosts():
--- a/features/steps/forwarding_news_steps.py
+++ b/features/steps/forwarding_news_steps.py
@@ -107,5 +107,5 @@
     zone = context.zone
     for node in zone.list_alive():
         own = {COOKIE: context.flows}
-        found = node.sum_others(own, zone.now)
+        found = node.sum_other_loads(own, zone.now)
         assert found == {COOKIE: flows}, (node.name, found)
