--- a/cornelgap/forwarding/neighbours.py
+++ b/cornelgap/forwarding/neighbours.py
@@ -65,11 +65,11 @@
 """Seconds between two load reports in larger zones."""
 
 LOAD_INTERVAL_S = 0.5
-"""Seconds between two load reports in other zones."""
+"""Seconds between two load reports in zones of up to that size."""
 
 OTHER_ZONE_BEAT_INTERVAL_S = 1.0
 """Seconds between two beats to hubs of other zones; traffic between zones is
-billed."""
+costly."""
 
 
 class Member(Struct):
