--- a/cornelgap/forwarding/directory_actor.py
+++ b/cornelgap/forwarding/directory_actor.py
@@ -265,7 +265,7 @@
         self._send_beat([host], zone, members=members)
 
     def _apply_beat(self, beat, changes):
-        """Adopt what is newer in a beat; fetch a snapshot if that is not all."""
+        """Adopt what is newer in a beat; fetch a snapshot if not all came."""
         now = self._received_at
         news = intake.apply_beat(self._directory, beat, changes, now)
         if BeatEffect.BEHIND in news:
--- a/cornelgap/forwarding/failure_detector.py
+++ b/cornelgap/forwarding/failure_detector.py
@@ -297,7 +297,7 @@
     def _record_answer(self, cookie, target, answered_at, reported=False):
         """Record an answer.
 
-        :param told: whether another instance has reported it.
+        :param reported: whether another instance has reported it.
         :returns: since when the zone was unreachable if this answer shows
             that it is back, else None.
         """
--- a/cornelgap/forwarding/openings.py
+++ b/cornelgap/forwarding/openings.py
@@ -20,8 +20,9 @@
     """Records openings, and decides which ones to drop.
 
     :param zone: this instance's availability zone.
-    :param failure_detector: :class:`~cornelgap.forwarding.failure_detector.FailureDetector`,
-        which knows the zones that are away.
+    :param failure_detector: a ``FailureDetector``, see
+        :mod:`cornelgap.forwarding.failure_detector`; it knows the zones that
+        are away.
     """
 
     def __init__(self, zone, failure_detector):
