--- a/cornelgap/forwarding/failure_detector.py
+++ b/cornelgap/forwarding/failure_detector.py
@@ -4,12 +4,34 @@
 acknowledgement is evidence for it.  A request that is never answered counts
 against the target although its packets were acknowledged.
 
+A cookie is the 32-bit number by which callers' packets name their target;
+records are kept by cookie.
+
 This module passes these observations on to four detectors: ``flow_health``
 finds targets that answer nobody, ``target_outliers`` targets that fail more
 than their peers, ``zone_reach`` zones that are out of reach, and
 ``path_loss`` packet loss on the way through this instance.  It also collects
 the evidence that is sent to the other instances.  An instance that loses
 packets itself gives no target up and reports no repeats to the others.
+
+The module uses these terms:
+
+- silent: a target of which several flows repeat, at least one for the second
+  time, and none gets an answer.  It stays silent for a fixed time after the
+  last such repeat, or until it answers.
+- given up: a silent target, while no local fault (startup, or packet loss on
+  the way through this instance) is possible.  Packets of its open flows are
+  not forwarded, except probes, and these flows are reset.
+- avoided: a target that gets no new flow for a while, as several of its flows
+  repeat without an answer in between, or as it is an outlier.  Its open flows
+  continue.
+- away: a zone of which several targets do not answer second repeats, and no
+  target answers at all.  It gets no new flow except probes.  Its open flows
+  continue, but each of its targets becomes silent after fewer repeats.
+
+All times are in seconds on the clock of this instance, which also advances
+while the machine is suspended.  ``now`` is the time at which the present
+packet or message is handled.
 """
 
 from itertools import chain, repeat
@@ -39,6 +61,11 @@
 class Evidence(Struct):
     """Observations from the flows of one instance.
 
+    A flow number is the caller's port.  Together with the cookie and the
+    reporting instance it tells flows apart.  Callers with the same port on
+    the same target count as one flow there: the evidence against the target
+    can only be weaker for it.
+
     :param repeats: lists [cookie, flow number, whether again] for packets
         that callers repeated on open flows.
     :param copies: the same for repeated openings.
@@ -74,7 +101,7 @@
         return [*((*row, False) for row in self.repeats), *openings]
 
     def list_answers(self, now):
-        """Return tuples (cookie, time of the answer)."""
+        """Return tuples (cookie, time of the answer on the own clock)."""
         ages = chain(self.ages, repeat(0))
         return [
             (cookie, now - max(0, age) / 1000)
@@ -85,9 +112,13 @@
 class FailureDetector:
     """Detects failed targets, by cookie, and unreachable zones, by name.
 
-    :ivar silent: cookies of the targets given up at the last check.
-    :ivar overloaded: whether targets are known to shed load; full targets
-        are silent, and links lose packets at the same time.
+    :ivar silent: cookies of the targets found silent by the last
+        :meth:`update_silent` without a possible local fault.
+    :ivar overloaded: whether this instance limits the openings of any
+        service because its targets shed load.  The engine sets it after each
+        step of admission control.  Under such load a full target may leave
+        packets unanswered, and full links may lose them, so a repeat does not
+        count against open flows; see :func:`concerns_openings_only`.
     """
 
     def __init__(self):
@@ -105,7 +136,13 @@
     def set_instances(self, count, rank):
         """Set the number of instances in the zone, including this one.
 
-        :param rank: position of this instance among them, from 0.
+        From :data:`TWO_REPORTERS_MIN_INSTANCES` on, two of them must see
+        repeats before a target is silent or a zone away; for a target of a
+        zone that is away, one is enough.
+
+        :param rank: number of instances that precede this one, without those
+            that seem to be down.  The instances take turns in this order to
+            probe a zone that is away.
         """
         self._health.min_reporters = (
             2 if count >= TWO_REPORTERS_MIN_INSTANCES else 1
@@ -121,12 +158,23 @@
         self._path_loss.keep(cookies)
 
     def forget(self, cookie):
-        """Drop the records of one target, because it has restarted."""
+        """Drop what is known of one target, because it has restarted.
+
+        What happened before the restart must not count against it.  Kept are
+        repeats in ``path_loss`` and ``zone_reach``, which judge the path and
+        the zone, and evidence and outcomes that have not been taken yet.
+        """
         self._health.forget(cookie)
         self._outliers.forget(cookie)
 
     def clear(self):
-        """Drop all observations, as after a stall of this process."""
+        """Drop the observations of all detectors, as after a stall.
+
+        The startup time begins again with the next packet.  Kept are the
+        settings of :meth:`set_instances`, ``overloaded``, evidence and
+        outcomes that have not been taken yet, and ``silent``, so that
+        :meth:`update_silent` goes on from its last result.
+        """
         self._health.clear()
         self._outliers.clear()
         self._reach.clear()
@@ -145,6 +193,10 @@
     def note_repeat(self, cookie, target, packet, again, now, opening=False):
         """Record that a caller repeated a packet forwarded here before.
 
+        While packets are lost on the way through this instance, a repeat is
+        no evidence against the target.  A repeat to a zone that is away says
+        nothing about that loss.
+
         :param target: the target of the cookie, None if it is not known.
         :param again: whether the caller had repeated this packet before.
         :param opening: whether the flow is not open yet.
@@ -160,24 +212,35 @@
             rows.append([cookie, packet.source_port, int(again)])
 
     def note_outcome(self, cookie, kind):
-        """Record how a request through this instance has ended.
+        """Count a request through this instance by how it has ended.
 
-        :param kind: name of a field of
+        :param kind: ``prompt`` (served about as fast as usual), ``slow``
+            (served, but slower) or ``failed`` (not served, or far slower);
+            the fields of
             :class:`~cornelgap.decisions.target_outliers.Outcomes`.
         """
         outcomes = self._outcomes.setdefault(cookie, Outcomes())
         setattr(outcomes, kind, getattr(outcomes, kind) + 1)
 
     def take_outcomes(self):
-        """Return and reset the :class:`Outcomes` by cookie."""
+        """Return and reset the :class:`Outcomes` by cookie.
+
+        The packet actor takes them at each tick.  They are reported to the
+        first hub of the zone, which adds up those of all instances.  The sums
+        come back to each instance, and so to :meth:`note_zone_outcomes`.
+        """
         found, self._outcomes = self._outcomes, {}
         return found
 
     def note_zone_outcomes(self, by_service, outcomes, now):
         """Record how requests through all instances of the zone have ended.
 
+        Targets that fail more than their peers are then avoided for a while.
+        Outcomes that arrive during startup are ignored.
+
         :param by_service: targets by service.
-        :param outcomes: :class:`Outcomes` by cookie.
+        :param outcomes: sums of :class:`Outcomes` by cookie; they include
+            those that this instance returned from :meth:`take_outcomes`.
         """
         if self._is_starting(now):
             return
@@ -191,18 +254,22 @@
     def note_answer(self, cookie, target, answered_at, opened_at, now):
         """Record an answer of a target.
 
-        :param answered_at: time since which the target is known to have
-            answered.
+        :param answered_at: time of the answer, if the caller's packet only
+            acknowledges it: that of the packet.  A packet with data may
+            acknowledge it late; then it is the time of the answered request,
+            the earliest possible one, or 0 if no request was waiting.
         :param opened_at: when the flow of the answer was first seen here.
         """
         away_since = self._record_answer(cookie, target, answered_at)
         self._path_loss.note_answer(cookie, answered_at, now)
         if away_since is not None and opened_at > away_since:
-            # One instance probes for all: the others have no flow in the
-            # zone and would avoid it until they probe themselves.  A flow
-            # opened before the zone was cut off may still show an answer
-            # that was on its way then; reported to all instances, it would
-            # hide that the zone is unreachable.
+            # The instances take turns to probe, so that a zone that is away
+            # gets one probe per interval from all together.  The others have
+            # no flow in the zone and would avoid it until their own turn, so
+            # the answer is reported to them.  A flow opened before the zone
+            # was cut off may still show an answer that was on its way then;
+            # reported to all instances, it would hide that the zone is
+            # unreachable.
             self._evidence.add_answer(cookie)
 
     def take_evidence(self):
@@ -262,7 +329,10 @@
         return self._reach.list_away()
 
     def is_avoided(self, cookie, now):
-        """Return whether a target should get no new flow now."""
+        """Return whether a target should get no new flow now.
+
+        This alone does not affect its open flows.
+        """
         return self._health.is_avoided(
             cookie, now
         ) or self._outliers.is_avoided(cookie, now)
@@ -284,7 +354,14 @@
         return not self._health.take_probe(cookie, now)
 
     def update_silent(self, cookies, now):
-        """Return the targets that have become silent since the last call."""
+        """Return the targets that have become silent since the last check.
+
+        While a local fault is possible, during startup or packet loss, none
+        is returned and ``silent`` is left as it was.  The next check without
+        such a fault compares with it.
+
+        :param cookies: the targets to check.
+        """
         if self._may_be_local_fault(now):
             return frozenset()
         silent = frozenset(
@@ -310,6 +387,13 @@
         return away_since
 
     def _evaluate_repeat(self, cookie, target, flow, again, opening, now):
+        """Pass a repeat on to the detectors of silent targets and zones.
+
+        :param flow: tuple (instance that saw the repeat, name of the flow).
+        :returns: whether the repeat counts as evidence; it does not just
+            after an answer of the target.  Repeats seen here are reported to
+            the other instances only if they count.
+        """
         away = False
         if target is not None:
             if again:
@@ -340,8 +424,16 @@
 def concerns_openings_only(opening, overloaded, away):
     """Return whether a repeat is no evidence against a target's open flows.
 
+    Such a repeat has no weight in making the target silent.  It still helps
+    to make it avoided, so that the target gets no new flow.
+
+    Overload explains a repeat as well as a failure does, but not that a whole
+    zone answers nothing.  Repeats to a zone that is away therefore count in
+    full, except openings.
+
     :param opening: whether the repeated packet is an opening.
-    :param overloaded: whether targets are known to shed load.
+    :param overloaded: whether targets are known to shed load; see
+        :class:`FailureDetector`.
     :param away: whether the target's whole zone is unreachable.
     """
     return opening or (overloaded and not away)
