--- a/cornelgap/kernel/supervision.py
+++ b/cornelgap/kernel/supervision.py
@@ -1,11 +1,17 @@
 """Supervision: detects, logs and counts crashed and unresponsive actors.
 
 When an actor crashes, the other actors of the process continue.  Without
-supervision the process would keep answering packets, but with a frozen
-configuration or without metrics, and nobody would notice.  The supervisor
-receives a report of each crash, probes the actors periodically, and calls a
-function that decides whether the process must end so that the platform
-replaces it.
+supervision the process would keep answering packets, but without metrics or
+with a configuration that is never updated again, and nobody would notice.
+The supervisor receives a report of each crash, and probes the watched actors
+whenever it receives :class:`ProbeActors`.  For each crashed or stuck actor it
+calls a function that decides whether the process must end so that the
+platform replaces it.
+
+A scope is the name of an instance; an actor's name is unique within it.  A
+process normally runs one instance with one supervisor; in tests it may run
+several, see :mod:`cornelgap.kernel.names`.  Log lines state the scope as
+``instance``.
 """
 
 import logging
@@ -21,10 +27,15 @@
 SUPERVISOR = 'supervisor'
 
 PROBE_INTERVAL_S = 1.0
+"""Seconds between two :class:`ProbeActors`.  The supervisor has no timer:
+:mod:`cornelgap.entry.operations` sends them.  Nothing sends them in
+:mod:`cornelgap.platform.node`; only reported crashes are noticed there."""
+
 STUCK_TIMEOUT_S = 10.0
 """Seconds without an answer to a probe after which an actor counts as stuck.
-The longest normal message handling, decoding a configuration of the design
-size, takes well below a second."""
+The longest normal message handling takes well below a second: the decoding
+of a configuration of the size that CONTRIBUTING.md states under "The size to
+design for"."""
 
 _LOG = logging.getLogger('cornelgap.supervision')
 
@@ -41,7 +52,7 @@
 
 
 class WatchActor(Struct, frozen=True):
-    """Message: probe this actor periodically.
+    """Message: from now on, probe this actor at each :class:`ProbeActors`.
 
     :param name: name of the actor.
     :param ref: its :class:`pykka.ActorRef`.
@@ -55,18 +66,30 @@
 
 
 class ProbeActors(Struct, frozen=True):
-    """Message: probe all watched actors now."""
+    """Message: probe all watched actors now.
+
+    An actor whose last probe is unanswered gets no further probe; it is
+    checked for being stuck instead.
+    """
 
 
 class GetCrashCounts(Struct, frozen=True):
-    """Message sent by ``ask``: return a dict of crash counts by actor name."""
+    """Message sent by ``ask``: return a dict of crash counts by actor name.
+
+    Actors found to be stuck are counted too.
+    """
 
 
 def report_crash(scope, name, exc):
     """Log a crash and report it to the scope's supervisor, if there is one.
 
-    :param scope: name of the instance.
-    :param name: name of the crashed actor.
+    The log line has the code ``NET_ACTOR_CRASHED``.  Despite its prefix, it
+    has nothing to do with the network: ``NET`` codes also cover faults
+    inside one instance, see :class:`cornelgap.core.errors.Code`.
+
+    :param scope: name of the instance that the actor belongs to.
+    :param name: name of the crashed actor; ``node`` for work that a thread
+        of :mod:`cornelgap.platform.node` does outside any actor.
     :param exc: exception that ended it.
     """
     text = f'{type(exc).__name__}: {exc}'
@@ -99,7 +122,10 @@
 class Supervisor(pykka.ThreadingActor):
     """Counts crashes and detects actors that no longer answer.
 
-    :param scope: name of the instance.
+    A stuck actor is handled like a crashed one: it is logged with the same
+    code, counted, passed to ``on_crash``, and not probed again.
+
+    :param scope: name of the instance whose actors it supervises.
     :param on_crash: function called in the supervisor's thread with the name
         of each crashed or stuck actor; decides whether the process must end.
     :param now: function that returns the time in seconds.
@@ -144,14 +170,17 @@
             try:
                 watched.answer = watched.ref.ask(watched.probe, block=False)
             except pykka.ActorDeadError:
-                # The actor was stopped on purpose; a crash would have been
-                # reported.
+                # The actor has ended.  If it crashed, it has called
+                # report_crash itself (see kernel.named_actor), and the crash
+                # is counted when the message ActorCrashed is handled.
+                # Otherwise it was stopped on purpose.
                 self._watched.pop(name)
 
     def _report_stuck(self, name):
-        # No crash report exists in two cases: an exception outside message
-        # handling, such as in the inbox, ended the actor's thread, or the
-        # handling of a message never returns.
+        # The actor has not called report_crash, for one of two reasons: the
+        # handling of a message does not return, or an exception outside
+        # on_receive, such as in the inbox, ended the actor's thread.  In the
+        # second case pykka calls no hook and takes the actor to be alive.
         _LOG.error(
             'supervision: actor does not respond',
             extra={
@@ -169,6 +198,7 @@
     except pykka.Timeout:
         return False
     except Exception:
-        # Any answer, even an error, shows that the actor is running.
+        # Any answer, even an error, shows that the actor is not stuck.  If
+        # it has ended, the next probe raises ActorDeadError.
         return True
     return True
